--- a/bench/cluster_store_bench.cpp
+++ b/bench/cluster_store_bench.cpp
@@ -9,7 +9,7 @@
 #include "bench/cluster_stores.hpp"
 #include "cluster/common/tcp_transport.hpp"
 #include "cluster/control/typed_call.hpp"
-#include "cluster/storage/edges.hpp"
+#include "cluster/storage/edge_registry.hpp"
 
 namespace {
 
@@ -187,10 +187,11 @@
 void measureChoice(int runs, int count) {
     constexpr int kChoices = 2'000;
     Series micros;
-    storage::Edges edges("zone-0", {}, 7);
+    storage::EdgeRegistry edges("zone-0", {}, 7);
     const SteadyTime now{std::chrono::seconds(1000)};
     for (int i = 0; i < count; ++i) {
-        storage::Edge& edge = edges.heard("edge-hall-trakia-" + std::to_string(i), {"10.20.1.17", 7781}, now);
+        storage::Edge& edge =
+            edges.recordContact("edge-hall-trakia-" + std::to_string(i), {"10.20.1.17", 7781}, now);
         edge.zone = "zone-" + std::to_string(i % 12);
         edge.synced_epoch = 1;
     }
--- a/src/cluster/storage/grant_counters.hpp
+++ b/src/cluster/storage/grant_counters.hpp
@@ -1,4 +1,4 @@
-// What a store counts of the attempts that it grants, since its start.
+// Counters of the attempts that a store has granted since it started.
 #pragma once
 
 #include <cstdint>
@@ -7,29 +7,31 @@
 namespace amberswitch::cluster::storage {
 
 struct GrantCounters {
-    // Grants, by how they were given. An adopted one was running already.
+    // Grants, by the way in which they were given. An adopted attempt was already running.
     std::uint64_t granted_at_accept = 0;
     std::uint64_t granted_by_push = 0;
     std::uint64_t adopted = 0;
-    // Attempts whose message may be granted again, by why.
+    // Attempts whose message may be granted again, by reason.
     std::uint64_t reported_unknown = 0;
     std::uint64_t reported_not_run = 0;
     std::uint64_t reported_failed = 0;
     std::uint64_t push_refused = 0;
-    std::uint64_t edge_gone = 0;        // silent, or its address refused a call
-    std::uint64_t missing_at_edge = 0;  // its lists lack the attempt
+    std::uint64_t edge_gone = 0;        // the edge is silent, or its address refused a call
+    std::uint64_t missing_at_edge = 0;  // the edge's list of running attempts lacks the attempt
     std::uint64_t expired = 0;
-    // Ends of messages.
+    // Reported ends of messages.
     std::uint64_t completed = 0;
     std::uint64_t rejected = 0;
-    // Messages that wait or run whose service another configuration has changed, once for each change.
+    // Waiting or running messages whose service a new configuration has changed, once per change.
     std::uint64_t moved_by_configuration = 0;
-    // A success of an attempt that is not the granted one: the message may have run a second time meanwhile.
+    // Successes of an attempt that is not the current grant: the message may have run a second time
+    // meanwhile.
     std::uint64_t successes_of_former_attempts = 0;
-    // Invariant: a message succeeds once. Successes that were reported with another stamp than the first one.
+    // Successes reported with a stamp that differs from the first one. Violates the invariant that a message
+    // succeeds once.
     std::uint64_t repeated_successes = 0;
 
-    // One line for each counter, its name beginning with "grants_".
+    // Metrics text with one line per counter; names are prefixed with "grants_".
     std::string text() const;
 };
 
--- a/src/cluster/storage/granter.cpp
+++ b/src/cluster/storage/granter.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr Millis kPushTimeout{1000};
-constexpr std::size_t kMostBytesPerPush = 1u << 20;
-constexpr Millis kShortestSleep{1};
+constexpr std::size_t kMaxBytesPerPush = 1u << 20;
+constexpr Millis kMinSleep{1};
 constexpr Millis kCallbackTimeout{5000};
 
 }  // namespace
 
-Granter::Granter(Scheduler& scheduler, Transport& transport, OwnedPartitions& owned, GrantBook& book,
-                 Outcomes& outcomes, Replica& replica, const QueueItemFactory& items, std::string self)
+Granter::Granter(Scheduler& scheduler, Transport& transport, OwnedPartitions& owned, GrantTable& grants,
+                 OutcomeHandler& outcomes, Replica& replica, const QueueItemFactory& items, std::string self)
     : scheduler_(scheduler),
       transport_(transport),
       owned_(owned),
-      book_(book),
+      grants_(grants),
       outcomes_(outcomes),
       replica_(replica),
       items_(items),
@@ -31,14 +31,14 @@
 std::optional<AttemptId> Granter::grantAtAccept(OwnedPartition& owned, QueueItem& item,
                                                 const std::string& edge) {
     const SteadyTime now = scheduler_.now();
-    if (stopped_ || !owned.queue.grantable(item, now)) return std::nullopt;
-    const Edge* const asker = book_.edges.find(edge);
-    if (asker != nullptr && book_.edges.hasNearerThan(*asker, now)) return std::nullopt;
-    if (book_.ready.hasInTime(item.service, now) || !book_.limiter.mayGrant(item.service, now))
+    if (stopped_ || !owned.queue.isGrantable(item, now)) return std::nullopt;
+    const Edge* const requester = grants_.edges.find(edge);
+    if (requester != nullptr && grants_.edges.hasNearerThan(*requester, now)) return std::nullopt;
+    if (grants_.ready.hasInTime(item.service, now) || !grants_.limiter.mayGrant(item.service, now))
         return std::nullopt;
     const AttemptId id{owned.epoch, ++last_attempt_};
-    book_.give(owned, item, edge, id, now, items_.timeoutOf(item));
-    ++book_.counters.granted_at_accept;
+    grants_.addGrant(owned, item, edge, id, now, items_.timeoutOf(item));
+    ++grants_.counters.granted_at_accept;
     return id;
 }
 
@@ -52,41 +52,41 @@
     if (item->grant) {
         if (item->grant->id != id) return;
         if (edge == kUnknownEdge) return;
-        if (item->grant->edge != edge) book_.move(*item, edge);
+        if (item->grant->edge != edge) grants_.reassign(*item, edge);
         item->grant->missing_since.reset();
         item->grant->expiry = std::max(item->grant->expiry, now + kGrantExpiryMargin);
         return;
     }
     if (item->state == ItemState::storing) return;
-    book_.adopt(*owned, *item, edge, id, now, timeout, uncounted);
+    grants_.adopt(*owned, *item, edge, id, now, timeout, uncounted);
 }
 
 void Granter::schedule() {
     if (std::exchange(scheduled_, true)) return;
     scheduler_.post([this] {
         scheduled_ = false;
-        pump();
+        grantReady();
     });
 }
 
-void Granter::pump() {
+void Granter::grantReady() {
     if (stopped_) return;
     const SteadyTime now = scheduler_.now();
     for (auto& [partition, owned] : owned_) {
         if (owned->active) owned->queue.collectReady(now);
     }
     Pushes pushes;
-    for (const std::string& service : book_.ready.services(now)) drainService(service, pushes);
+    for (const std::string& service : grants_.ready.services(now)) grantService(service, pushes);
     for (auto& [edge, batches] : pushes) {
         for (Push& push : batches) send(edge, std::move(push.message));
     }
-    planWakeUp();
+    scheduleWakeUp();
 }
 
-void Granter::drainService(const std::string& service, Pushes& pushes) {
+void Granter::grantService(const std::string& service, Pushes& pushes) {
     const SteadyTime now = scheduler_.now();
-    while (QueueItem* const item = book_.ready.head(service, now)) {
-        if (!book_.limiter.mayGrant(service, now)) return;
+    while (QueueItem* const item = grants_.ready.head(service, now)) {
+        if (!grants_.limiter.mayGrant(service, now)) return;
         Edge* const edge = chooseEdge(*item, now);
         if (edge == nullptr) return;
         if (!grantTo(*edge, *item, pushes)) return;
@@ -95,15 +95,16 @@
 
 Edge* Granter::chooseEdge(const QueueItem& item, SteadyTime now) {
     if (item.callback) return chooseForCallback(item.service, now);
-    if (book_.limiter.isEndpoint(item.service)) return book_.edges.chooseFor(item.service, now);
-    return book_.edges.choose(now);
+    if (grants_.limiter.isEndpoint(item.service))
+        return grants_.edges.chooseForDestination(item.service, now);
+    return grants_.edges.choose(now);
 }
 
 Edge* Granter::chooseForCallback(const std::string& receiver, SteadyTime now) {
-    const auto known = static_cast<std::uint32_t>(book_.edges.known());
+    const auto known = static_cast<std::uint32_t>(grants_.edges.knownCount());
     const CallbackPlan plan = planCallbacks(known);
-    if (plan.all_send) return book_.edges.choose(now);
-    return book_.edges.chooseSender(receiver, plan.senders, now);
+    if (plan.all_send) return grants_.edges.choose(now);
+    return grants_.edges.chooseSender(receiver, plan.senders, now);
 }
 
 bool Granter::grantTo(Edge& edge, QueueItem& item, Pushes& pushes) {
@@ -127,17 +128,17 @@
     }
     const Millis timeout = item.callback ? kCallbackTimeout : items_.timeoutOf(item);
     grant.timeout_ms = timeout.count();
-    book_.give(*owned, item, edge.name, {grant.epoch, grant.attempt}, scheduler_.now(), timeout);
-    ++book_.counters.granted_by_push;
+    grants_.addGrant(*owned, item, edge.name, {grant.epoch, grant.attempt}, scheduler_.now(), timeout);
+    ++grants_.counters.granted_by_push;
     std::vector<Push>& batches = pushes[edge.name];
-    if (batches.empty() || batches.back().bytes >= kMostBytesPerPush) batches.emplace_back();
+    if (batches.empty() || batches.back().bytes >= kMaxBytesPerPush) batches.emplace_back();
     batches.back().bytes += grant.content.body.size();
     batches.back().message.grants.push_back(std::move(grant));
     return true;
 }
 
 void Granter::send(const std::string& edge, GrantPush push) {
-    const Edge* const to = book_.edges.find(edge);
+    const Edge* const to = grants_.edges.find(edge);
     std::vector<RunningAttempt> sent;
     for (const Grant& grant : push.grants) {
         sent.push_back({grant.partition, grant.content.id, grant.attempt, grant.epoch, grant.callback});
@@ -154,33 +155,33 @@
     if (result.verdict == Verdict::answered) {
         const auto reply = decode<GrantPushReply>(result.reply.body);
         if (!reply || reply->taken.size() != sent.size()) return;
-        if (Edge* const pushed = book_.edges.find(edge)) {
-            // Nothing more until the new process is heard.
+        if (Edge* const pushed = grants_.edges.find(edge)) {
+            // Another process now runs at that address: no more grants until it makes contact.
             if (reply->other_process) pushed->usable = false;
-            if (!reply->other_process) pushed->heard = scheduler_.now();
+            if (!reply->other_process) pushed->last_contact = scheduler_.now();
         }
         for (std::size_t i = 0; i < sent.size(); ++i) {
-            if (!reply->taken[i]) giveBack(sent[i]);
+            if (!reply->taken[i]) requeue(sent[i]);
         }
         schedule();
         return;
     }
-    if (Edge* const pushed = book_.edges.find(edge)) pushed->usable = false;
+    if (Edge* const pushed = grants_.edges.find(edge)) pushed->usable = false;
     if (result.verdict != Verdict::not_executed) return;
-    for (const RunningAttempt& attempt : sent) giveBack(attempt);
+    for (const RunningAttempt& attempt : sent) requeue(attempt);
     schedule();
 }
 
-void Granter::giveBack(const RunningAttempt& attempt) {
+void Granter::requeue(const RunningAttempt& attempt) {
     OwnedPartition* const owned = findActive(owned_, attempt.partition);
     QueueItem* const item = owned == nullptr ? nullptr : owned->queue.find(attempt.id);
     if (item == nullptr || !item->grant) return;
     if (item->grant->id != AttemptId{attempt.epoch, attempt.attempt}) return;
-    ++book_.counters.push_refused;
-    outcomes_.giveBack(*owned, *item, DestinationSign::nothing);
+    ++grants_.counters.push_refused;
+    outcomes_.requeue(*owned, *item, DestinationStatus::unknown);
 }
 
-void Granter::planWakeUp() {
+void Granter::scheduleWakeUp() {
     const SteadyTime now = scheduler_.now();
     std::optional<SteadyTime> next;
     const auto consider = [&next](std::optional<SteadyTime> when) {
@@ -189,19 +190,19 @@
     for (const auto& [partition, owned] : owned_) {
         if (owned->active) consider(owned->queue.nextDue());
     }
-    // Where only an edge is missing, the next edge to be heard starts the next look.
-    for (const std::string& service : book_.ready.services(now)) {
-        const auto chance = book_.limiter.nextChance(service, now);
-        if (chance && *chance > now) consider(chance);
+    // Where only an edge is missing, the next contact of an edge schedules the next pass.
+    for (const std::string& service : grants_.ready.services(now)) {
+        const auto allowed = grants_.limiter.nextAllowedTime(service, now);
+        if (allowed && *allowed > now) consider(allowed);
     }
     if (next == wake_up_at_) return;
     wake_up_at_ = next;
     wake_up_.reset();
     if (!next) return;
-    const Millis sleep = std::max(kShortestSleep, std::chrono::ceil<Millis>(*next - now));
+    const Millis sleep = std::max(kMinSleep, std::chrono::ceil<Millis>(*next - now));
     wake_up_ = scheduler_.after(sleep, [this] {
         wake_up_at_.reset();
-        pump();
+        grantReady();
     });
 }
 
--- a/src/cluster/storage/outcomes.cpp
+++ b/src/cluster/storage/outcome_handler.cpp
@@ -1,4 +1,4 @@
-#include "cluster/storage/outcomes.hpp"
+#include "cluster/storage/outcome_handler.hpp"
 
 #include <algorithm>
 
@@ -7,32 +7,32 @@
 namespace {
 
 constexpr Millis kMinBackoff{20};
-constexpr Millis kFirstBackoff{200};
-constexpr Millis kLastBackoff{1000};
-constexpr Millis kLastBackoffWhileDown{2000};
-constexpr std::uint32_t kBackoffDoublings = 4;
+constexpr Millis kInitialBackoff{200};
+constexpr Millis kMaxBackoff{1000};
+constexpr Millis kMaxBackoffWhileDown{2000};
+constexpr std::uint32_t kMaxBackoffDoublings = 4;
 constexpr Millis kCallbackTimeout{5000};
 
-DestinationSign signOf(const RunResult& result) {
-    if (result.destination_down) return DestinationSign::down;
+DestinationStatus destinationStatusOf(const RunResult& result) {
+    if (result.destination_down) return DestinationStatus::down;
     switch (result.outcome) {
         case RunOutcome::not_run:
         case RunOutcome::unknown:
         case RunOutcome::callback_failed:
-            return DestinationSign::nothing;
+            return DestinationStatus::unknown;
         default:
-            return DestinationSign::reached;
+            return DestinationStatus::reached;
     }
 }
 
 }  // namespace
 
-bool Outcomes::apply(const std::string& edge, const RunResult& result) {
+bool OutcomeHandler::apply(const std::string& edge, const RunResult& result) {
     OwnedPartition* const owned = findActive(owned_, result.partition);
     if (owned == nullptr) return false;
     QueueItem* const item = owned->queue.find(result.id);
-    count(*owned, item, result);
-    if (item == nullptr) return true;  // all is over, or it was never here
+    countOutcome(*owned, item, result);
+    if (item == nullptr) return true;  // the message has ended completely, or was never stored here
     if (item->callback) {
         applyToCallback(*owned, *item, result);
     } else {
@@ -41,8 +41,9 @@
     return true;
 }
 
-void Outcomes::count(const OwnedPartition& owned, const QueueItem* item, const RunResult& result) {
-    GrantCounters& counters = book_.counters;
+void OutcomeHandler::countOutcome(const OwnedPartition& owned, const QueueItem* item,
+                                  const RunResult& result) {
+    GrantCounters& counters = grants_.counters;
     const bool runs = item != nullptr && !item->callback;
     const bool current = runs && item->grant && item->grant->id == AttemptId{result.epoch, result.attempt};
     switch (result.outcome) {
@@ -69,28 +70,28 @@
     }
 }
 
-bool Outcomes::isRepeatedSuccess(const OwnedPartition& owned, const RunResult& result) const {
+bool OutcomeHandler::isRepeatedSuccess(const OwnedPartition& owned, const RunResult& result) const {
     const StoredMessage* const message = replica_.find(owned.id, result.id);
     if (message == nullptr || message->phase != Phase::completed) return false;
     return !message->stamp.empty() && message->stamp != result.stamp;
 }
 
-void Outcomes::applyToRun(OwnedPartition& owned, QueueItem& item, const std::string& edge,
-                          const RunResult& result) {
+void OutcomeHandler::applyToRun(OwnedPartition& owned, QueueItem& item, const std::string& edge,
+                                const RunResult& result) {
     const bool current = item.grant && item.grant->id == AttemptId{result.epoch, result.attempt};
-    const bool uncounted = current && item.grant->uncounted;
-    if (current) book_.settle(item, signOf(result), clock_.now());
+    const bool uncounted = current && item.grant->failure_uncounted;
+    if (current) grants_.endGrant(item, destinationStatusOf(result), clock_.now());
     switch (result.outcome) {
         case RunOutcome::completed:
             end(owned, item, Phase::completed, result.stamp);
-            if (result.callback_started) continueWithCallback(owned, edge, result);
+            if (result.callback_started) adoptCallback(owned, edge, result);
             break;
         case RunOutcome::rejected:
             end(owned, item, Phase::dead_letter, {});
-            if (result.callback_started) continueWithCallback(owned, edge, result);
+            if (result.callback_started) adoptCallback(owned, edge, result);
             break;
         case RunOutcome::failed:
-            // A failure of an earlier epoch may have been counted by the owner before.
+            // A failure of an earlier epoch may have been counted by the previous owner.
             if ((uncounted || result.epoch == owned.epoch) && countFailure(owned, item, edge, result)) break;
             if (current) owned.queue.retry(item, clock_.now() + backoff(item, false));
             break;
@@ -99,55 +100,56 @@
     }
 }
 
-void Outcomes::applyToCallback(OwnedPartition& owned, QueueItem& item, const RunResult& result) {
+void OutcomeHandler::applyToCallback(OwnedPartition& owned, QueueItem& item, const RunResult& result) {
     const bool current = item.grant && item.grant->id == AttemptId{result.epoch, result.attempt};
     switch (result.outcome) {
         case RunOutcome::callback_taken:
-            finishCallback(owned, item, DestinationSign::reached);
+            finishCallback(owned, item, DestinationStatus::reached);
             break;
         case RunOutcome::callback_failed:
         case RunOutcome::not_run:
         case RunOutcome::unknown:
             if (!current) break;
-            book_.settle(item, signOf(result), clock_.now());
+            grants_.endGrant(item, destinationStatusOf(result), clock_.now());
             owned.queue.retry(item, clock_.now() + backoff(item, result.destination_down));
             break;
-        default:  // the first end stands; a repeated report of it changes nothing
+        default:  // the first end is final; later reports of an end change nothing
             break;
     }
 }
 
-bool Outcomes::countFailure(OwnedPartition& owned, QueueItem& item, const std::string& edge,
-                            const RunResult& result) {
+bool OutcomeHandler::countFailure(OwnedPartition& owned, QueueItem& item, const std::string& edge,
+                                  const RunResult& result) {
     const AttemptId attempt{result.epoch, result.attempt};
-    const bool counted = std::find(item.counted.begin(), item.counted.end(), attempt) != item.counted.end();
+    const bool counted = std::find(item.counted_failures.begin(), item.counted_failures.end(), attempt) !=
+                         item.counted_failures.end();
     if (counted) return false;
-    item.counted.push_back(attempt);
+    item.counted_failures.push_back(attempt);
     ++item.failures;
     if (item.failures >= items_.maxFailuresOf(item)) {
         end(owned, item, Phase::dead_letter, {});
-        if (result.callback_started) continueWithCallback(owned, edge, result);
+        if (result.callback_started) adoptCallback(owned, edge, result);
         return true;
     }
     RecordUpdate update;
     update.partition = item.partition;
     update.id = item.id;
     update.failures = item.failures;
-    write(item, update);
+    writeAndReplicate(item, update);
     return false;
 }
 
-void Outcomes::finishCallback(OwnedPartition& owned, QueueItem& item, DestinationSign sign) {
+void OutcomeHandler::finishCallback(OwnedPartition& owned, QueueItem& item, DestinationStatus destination) {
     if (const StoredMessage* const message = replica_.find(owned.id, item.id)) {
         RecordUpdate update = replica_.state(owned.id, item.id, *message);
         update.callback_done = true;
-        write(item, update);
+        writeAndReplicate(item, update);
     }
-    book_.settle(item, sign, clock_.now());
+    grants_.endGrant(item, destination, clock_.now());
     owned.queue.remove(item);
 }
 
-void Outcomes::end(OwnedPartition& owned, QueueItem& item, Phase phase, const std::string& stamp) {
+void OutcomeHandler::end(OwnedPartition& owned, QueueItem& item, Phase phase, const std::string& stamp) {
     RecordUpdate update;
     update.partition = item.partition;
     update.id = item.id;
@@ -156,56 +158,56 @@
     update.stamp = stamp;
     update.ended_wall_ms = clock_.wallMillis();
     update.callback_done = !item.callback_owed;
-    write(item, update);
+    writeAndReplicate(item, update);
     endInQueue(owned, item);
 }
 
-void Outcomes::endInQueue(OwnedPartition& owned, QueueItem& item) {
-    book_.settle(item, DestinationSign::nothing, clock_.now());
+void OutcomeHandler::endInQueue(OwnedPartition& owned, QueueItem& item) {
+    grants_.endGrant(item, DestinationStatus::unknown, clock_.now());
     owned.queue.end(item, [this, &owned](QueueItem& ended) {
         const StoredMessage* const message = replica_.find(owned.id, ended.id);
         const std::string url = message != nullptr && message->content ? message->content->callback_url : "";
         items_.turnIntoCallback(ended, url);
-        book_.limiter.limitOutstanding(ended.service, kMostCallbacksPerReceiver);
+        grants_.limiter.limitOutstanding(ended.service, kMaxCallbacksPerReceiver);
     });
 }
 
-void Outcomes::continueWithCallback(OwnedPartition& owned, const std::string& edge, const RunResult& result) {
+void OutcomeHandler::adoptCallback(OwnedPartition& owned, const std::string& edge, const RunResult& result) {
     QueueItem* const item = owned.queue.find(result.id);
     if (item == nullptr || !item->callback) return;
     const AttemptId attempt{result.epoch, result.attempt};
-    book_.adopt(owned, *item, edge, attempt, clock_.now(), kCallbackTimeout, true);
+    grants_.adopt(owned, *item, edge, attempt, clock_.now(), kCallbackTimeout, true);
 }
 
-void Outcomes::write(const QueueItem& item, const RecordUpdate& update) {
+void OutcomeHandler::writeAndReplicate(const QueueItem& item, const RecordUpdate& update) {
     replica_.merge(update);
     for (const std::string& store : item.holders) replicator_.noteState(store, item.partition, item.id);
 }
 
-void Outcomes::giveBack(OwnedPartition& owned, QueueItem& item, DestinationSign sign) {
-    book_.settle(item, sign, clock_.now());
-    owned.queue.retry(item, clock_.now() + backoff(item, sign == DestinationSign::down));
+void OutcomeHandler::requeue(OwnedPartition& owned, QueueItem& item, DestinationStatus destination) {
+    grants_.endGrant(item, destination, clock_.now());
+    owned.queue.retry(item, clock_.now() + backoff(item, destination == DestinationStatus::down));
 }
 
-Millis Outcomes::backoff(QueueItem& item, bool destination_down) {
-    const std::uint32_t doublings = std::min(item.retries++, kBackoffDoublings);
-    const Millis most = destination_down ? kLastBackoffWhileDown : kLastBackoff;
-    const Millis upper = std::min(kFirstBackoff * (1u << doublings), most);
+Millis OutcomeHandler::backoff(QueueItem& item, bool destination_down) {
+    const std::uint32_t doublings = std::min(item.retries++, kMaxBackoffDoublings);
+    const Millis max_backoff = destination_down ? kMaxBackoffWhileDown : kMaxBackoff;
+    const Millis upper = std::min(kInitialBackoff * (1u << doublings), max_backoff);
     std::uniform_int_distribution<std::int64_t> draw(kMinBackoff.count(), upper.count());
     return Millis(draw(random_));
 }
 
-void Outcomes::endOverdue(OwnedPartition& owned) {
+void OutcomeHandler::endExpired(OwnedPartition& owned) {
     for (QueueItem* item : owned.queue.expired(clock_.now())) {
         if (item->callback) {
-            finishCallback(owned, *item, DestinationSign::nothing);
+            finishCallback(owned, *item, DestinationStatus::unknown);
         } else {
             end(owned, *item, Phase::dead_letter, {});
         }
     }
 }
 
-bool Outcomes::applyConfiguration(OwnedPartition& owned, QueueItem& item) {
+bool OutcomeHandler::applyConfiguration(OwnedPartition& owned, QueueItem& item) {
     if (item.callback) {
         const int priority = items_.priorityOf(item.route);
         owned.queue.update(item, [priority](QueueItem& changed) { changed.priority = priority; });
@@ -219,18 +221,18 @@
         return true;
     }
     if (routing.route == nullptr) return false;
-    if (routing.route->service != item.service) ++book_.counters.moved_by_configuration;
-    owned.queue.update(item, [&](QueueItem& changed) { items_.follow(changed, *routing.route); });
+    if (routing.route->service != item.service) ++grants_.counters.moved_by_configuration;
+    owned.queue.update(item, [&](QueueItem& changed) { items_.applyRoute(changed, *routing.route); });
     return false;
 }
 
-void Outcomes::applyConfiguration(OwnedPartition& owned) {
+void OutcomeHandler::applyConfiguration(OwnedPartition& owned) {
     owned.queue.forEach([this, &owned](QueueItem& item) {
         if (item.state != ItemState::storing) applyConfiguration(owned, item);
     });
 }
 
-void Outcomes::refresh(OwnedPartition& owned, const MessageId& id) {
+void OutcomeHandler::refresh(OwnedPartition& owned, const MessageId& id) {
     const StoredMessage* const message = replica_.find(owned.id, id);
     if (message == nullptr) return;
     QueueItem* const item = owned.queue.find(id);
@@ -240,24 +242,24 @@
     }
     item->failures = std::max(item->failures, message->failures);
     if (!message->live()) {
-        book_.settle(*item, DestinationSign::nothing, clock_.now());
+        grants_.endGrant(*item, DestinationStatus::unknown, clock_.now());
         owned.queue.remove(*item);
     } else if (message->phase != Phase::pending && !item->callback) {
         endInQueue(owned, *item);
     }
 }
 
-void Outcomes::recover(OwnedPartition& owned, const MessageId& id, const StoredMessage& message) {
+void OutcomeHandler::recover(OwnedPartition& owned, const MessageId& id, const StoredMessage& message) {
     if (!message.content_on_disk || !message.content) return;
     QueueItem item = items_.make(owned.id, *message.content, message);
     if (item.callback && !item.callback_owed) return;
     item.id = id;
     item.recovered = true;
-    if (owned.queue.isStray(item)) {
+    if (owned.queue.isUnknownToNewerEpoch(item)) {
         item.position = {owned.epoch, ++owned.last_sequence};
-        item.after = item.position;  // it says nothing of others
+        item.predecessor = item.position;  // implies nothing about messages of older epochs
     }
-    if (item.callback) book_.limiter.limitOutstanding(item.service, kMostCallbacksPerReceiver);
+    if (item.callback) grants_.limiter.limitOutstanding(item.service, kMaxCallbacksPerReceiver);
     owned.queue.add(std::move(item));
 }
 
--- a/src/cluster/storage/owned_partition.hpp
+++ b/src/cluster/storage/owned_partition.hpp
@@ -1,4 +1,4 @@
-// What an owner keeps in memory of a partition.
+// The state that the owner of a partition keeps in memory.
 #pragma once
 
 #include <map>
@@ -13,11 +13,11 @@
 
     PartitionId id;
     Epoch epoch = 0;
-    bool active = false;  // accepts, grants and answers; else it still learns what others have
+    bool active = false;  // serves requests and grants; false while the owner still peers with the replicas
     std::uint64_t last_sequence = 0;
-    bool settled = false;  // the edges have told what they run
-    SteadyTime settle_by;
-    SteadyTime share_from;  // its part of the ceilings counts from then on
+    bool recovered_released = false;  // recovered messages may be granted: running attempts are known
+    SteadyTime release_recovered_by;  // latest time at which recovered messages are released
+    SteadyTime ceiling_share_from;    // from then on its part of the ceilings counts
     PartitionQueue queue;
 };
 
--- a/src/cluster/storage/partition_queue.cpp
+++ b/src/cluster/storage/partition_queue.cpp
@@ -10,27 +10,27 @@
     }
 }
 
-QueueItem& PartitionQueue::add(QueueItem fresh) {
-    const auto [found, inserted] = items_.emplace(fresh.id, nullptr);
+QueueItem& PartitionQueue::add(QueueItem new_item) {
+    const auto [found, inserted] = items_.emplace(new_item.id, nullptr);
     if (!inserted) return *found->second;
-    found->second = std::make_unique<QueueItem>(std::move(fresh));
+    found->second = std::make_unique<QueueItem>(std::move(new_item));
     QueueItem& item = *found->second;
     item.state = ItemState::storing;
-    if (item.ordered()) joinLine(item);
+    if (item.ordered()) joinOrderQueue(item);
     deadlines_.emplace(item.deadline, &item);
-    if (item.recovered) arm(item);
+    if (item.recovered) setPendingState(item);
     return item;
 }
 
-void PartitionQueue::joinLine(QueueItem& item) {
-    Line& line = lines_[lineName(item)];
-    QueueItem* const first = line.empty() ? nullptr : line.begin()->second;
-    line[item.position] = &item;
-    const bool overtaken = first != nullptr && line.begin()->second == &item;
+void PartitionQueue::joinOrderQueue(QueueItem& item) {
+    OrderQueue& order_queue = order_queues_[orderQueueName(item)];
+    QueueItem* const first = order_queue.empty() ? nullptr : order_queue.begin()->second;
+    order_queue[item.position] = &item;
+    const bool overtaken = first != nullptr && order_queue.begin()->second == &item;
     if (!overtaken) return;
-    const bool stoppable = first->state == ItemState::waiting || first->state == ItemState::ready ||
-                           first->state == ItemState::held;
-    if (!stoppable) return;
+    const bool is_blockable = first->state == ItemState::waiting || first->state == ItemState::ready ||
+                              first->state == ItemState::held;
+    if (!is_blockable) return;
     detach(*first);
     first->state = ItemState::blocked;
 }
@@ -40,38 +40,38 @@
     return found == items_.end() ? nullptr : found->second.get();
 }
 
-LinePosition PartitionQueue::lastOlder(const QueueItem& item) const {
-    const auto line = lines_.find(lineName(item));
-    if (line == lines_.end()) return {};
-    const auto own_epoch = line->second.lower_bound({item.position.epoch, 0});
-    return own_epoch == line->second.begin() ? LinePosition{} : std::prev(own_epoch)->first;
+OrderPosition PartitionQueue::lastOfOlderEpochs(const QueueItem& item) const {
+    const auto order_queue = order_queues_.find(orderQueueName(item));
+    if (order_queue == order_queues_.end()) return {};
+    const auto own_epoch = order_queue->second.lower_bound({item.position.epoch, 0});
+    return own_epoch == order_queue->second.begin() ? OrderPosition{} : std::prev(own_epoch)->first;
 }
 
-bool PartitionQueue::isStray(const QueueItem& item) const {
+bool PartitionQueue::isUnknownToNewerEpoch(const QueueItem& item) const {
     if (!item.ordered()) return false;
-    const auto line = lines_.find(lineName(item));
-    if (line == lines_.end()) return false;
-    return std::any_of(line->second.begin(), line->second.end(), [&item](const auto& entry) {
+    const auto order_queue = order_queues_.find(orderQueueName(item));
+    if (order_queue == order_queues_.end()) return false;
+    return std::any_of(order_queue->second.begin(), order_queue->second.end(), [&item](const auto& entry) {
         const QueueItem& other = *entry.second;
-        return other.position.epoch > item.position.epoch && item.position > other.after;
+        return other.position.epoch > item.position.epoch && item.position > other.predecessor;
     });
 }
 
-void PartitionQueue::stored(QueueItem& item) {
-    if (item.state == ItemState::storing) arm(item);
+void PartitionQueue::markStored(QueueItem& item) {
+    if (item.state == ItemState::storing) setPendingState(item);
 }
 
-void PartitionQueue::settle() {
-    if (std::exchange(settled_, true)) return;
+void PartitionQueue::releaseRecovered() {
+    if (std::exchange(recovered_released_, true)) return;
     for (auto& [id, item] : items_) {
-        if (item->state == ItemState::held) arm(*item);
+        if (item->state == ItemState::held) setPendingState(*item);
     }
 }
 
-bool PartitionQueue::firstOfLine(const QueueItem& item) const {
+bool PartitionQueue::isFirstInOrder(const QueueItem& item) const {
     if (!item.ordered()) return true;
-    const auto line = lines_.find(lineName(item));
-    return line != lines_.end() && line->second.begin()->second == &item;
+    const auto order_queue = order_queues_.find(orderQueueName(item));
+    return order_queue != order_queues_.end() && order_queue->second.begin()->second == &item;
 }
 
 void PartitionQueue::detach(QueueItem& item) {
@@ -80,12 +80,12 @@
     item.grant.reset();
 }
 
-void PartitionQueue::arm(QueueItem& item) {
-    if (!firstOfLine(item)) {
+void PartitionQueue::setPendingState(QueueItem& item) {
+    if (!isFirstInOrder(item)) {
         item.state = ItemState::blocked;
         return;
     }
-    if (item.recovered && !settled_) {
+    if (item.recovered && !recovered_released_) {
         item.state = ItemState::held;
         return;
     }
@@ -111,27 +111,27 @@
 void PartitionQueue::retry(QueueItem& item, SteadyTime due) {
     detach(item);
     item.due = due;
-    arm(item);
+    setPendingState(item);
 }
 
-void PartitionQueue::leaveLine(QueueItem& item) {
+void PartitionQueue::leaveOrderQueue(QueueItem& item) {
     if (!item.ordered()) return;
-    const auto line = lines_.find(lineName(item));
-    if (line == lines_.end()) return;
-    const bool was_first = firstOfLine(item);
-    line->second.erase(item.position);
-    if (line->second.empty()) {
-        lines_.erase(line);
+    const auto order_queue = order_queues_.find(orderQueueName(item));
+    if (order_queue == order_queues_.end()) return;
+    const bool was_first = isFirstInOrder(item);
+    order_queue->second.erase(item.position);
+    if (order_queue->second.empty()) {
+        order_queues_.erase(order_queue);
         return;
     }
-    QueueItem& next = *line->second.begin()->second;
-    if (was_first && next.state == ItemState::blocked) arm(next);
+    QueueItem& next = *order_queue->second.begin()->second;
+    if (was_first && next.state == ItemState::blocked) setPendingState(next);
 }
 
 void PartitionQueue::end(QueueItem& item, const std::function<void(QueueItem&)>& change) {
     detach(item);
     item.state = ItemState::storing;
-    leaveLine(item);
+    leaveOrderQueue(item);
     if (!item.callback_owed) {
         remove(item);
         return;
@@ -141,19 +141,19 @@
     deadlines_.emplace(item.deadline, &item);
     item.recovered = false;
     item.retries = 0;
-    arm(item);
+    setPendingState(item);
 }
 
 void PartitionQueue::remove(QueueItem& item) {
     detach(item);
-    leaveLine(item);
+    leaveOrderQueue(item);
     deadlines_.erase({item.deadline, &item});
     items_.erase(MessageId(item.id));
 }
 
-bool PartitionQueue::grantable(const QueueItem& item, SteadyTime now) const {
-    const bool free = item.state == ItemState::waiting || item.state == ItemState::ready;
-    return free && item.due <= now && firstOfLine(item);
+bool PartitionQueue::isGrantable(const QueueItem& item, SteadyTime now) const {
+    const bool is_available = item.state == ItemState::waiting || item.state == ItemState::ready;
+    return is_available && item.due <= now && isFirstInOrder(item);
 }
 
 void PartitionQueue::update(QueueItem& item, const std::function<void(QueueItem&)>& change) {
--- a/src/cluster/storage/partition_queue.hpp
+++ b/src/cluster/storage/partition_queue.hpp
@@ -1,6 +1,6 @@
-// The unfinished messages of one owned partition: who may be granted, and when. Pure state; grants, limits
-// and disks are elsewhere. Ordered messages form one line per order key, of which only the first may be
-// granted.
+// The unfinished messages of one owned partition: which of them may be granted, and when. Holds state only;
+// limits, edges and disks are handled elsewhere. Ordered messages form one order queue per order scope and
+// order key, of which only the first message may be granted.
 #pragma once
 
 #include <functional>
@@ -18,6 +18,8 @@
 
 namespace amberswitch::cluster::storage {
 
+// Owns its items; references stay valid until the item is removed. Ready items are also listed in `ready`,
+// which must outlive the queue.
 class PartitionQueue {
 public:
     explicit PartitionQueue(ReadyQueues& ready) : ready_(ready) {}
@@ -25,55 +27,63 @@
     PartitionQueue(const PartitionQueue&) = delete;
     PartitionQueue& operator=(const PartitionQueue&) = delete;
 
-    // Takes a message in. Recovered ones are held until settle(); others are `storing` until stored().
+    // Adds a message, or returns the item that already has its id. Recovered messages are held until
+    // releaseRecovered(); others are `storing` until markStored().
     QueueItem& add(QueueItem item);
+    // Null if there is no such message.
     QueueItem* find(const MessageId& id);
-    // The last one of older epochs in the line of an item that is about to be added; epoch 0 if there is
-    // none.
-    LinePosition lastOlder(const QueueItem& item) const;
-    // A message of an older epoch that stands in its line behind one of a newer epoch whose owner did not
-    // know it: it was never acknowledged, and its place by accept would be wrong.
-    bool isStray(const QueueItem& item) const;
-    // The message is on enough disks: it may run when it is due and first of its line.
-    void stored(QueueItem& item);
-    // The edges have told what they run: recovered messages may be granted.
-    void settle();
-    // Moves all that are due to the queues of their services.
+    // The position of the last message of an older epoch in the order queue of an item that is about to be
+    // added; epoch 0 if there is none.
+    OrderPosition lastOfOlderEpochs(const QueueItem& item) const;
+    // Whether a message of an older epoch was unknown to the owner that accepted a message of a newer epoch
+    // in the same order queue. Such a message was never acknowledged, and its accept position would be the
+    // wrong place.
+    bool isUnknownToNewerEpoch(const QueueItem& item) const;
+    // Marks the message as held by enough disks: it may run when it is due and first in its order queue.
+    void markStored(QueueItem& item);
+    // Lets recovered messages be granted, once the running attempts of the edges are known.
+    void releaseRecovered();
+    // Moves all messages that are due to the ready queues of their services.
     void collectReady(SteadyTime now);
-    // The message is given out; it must be waiting, ready or held.
+    // Marks the message as granted; it must be waiting, ready or held.
     void grant(QueueItem& item, OutstandingGrant grant);
-    // Takes the grant back; the message may be granted again from `due` on.
+    // Removes the grant; the message may be granted again from `due` on.
     void retry(QueueItem& item, SteadyTime due);
-    // The message has ended: the next of its line may run. Without a call-back owed it is removed; else
-    // `change` turns it into its call-back, which waits from then on.
+    // Ends the message, so that the next one in its order queue may run. If no call-back is owed, the message
+    // is removed; otherwise `change` turns it into its call-back, which waits from then on.
     void end(QueueItem& item, const std::function<void(QueueItem&)>& change);
-    // Removes a message altogether.
+    // Removes the message without leaving a call-back.
     void remove(QueueItem& item);
-    // True where it may be granted now: first of its line, due, and not given out.
-    bool grantable(const QueueItem& item, SteadyTime now) const;
-    // Applies `change` to what the configuration tells of an item: its route, service, aim and priority.
+    // Whether the message may be granted now: first in its order queue, due, and not granted.
+    bool isGrantable(const QueueItem& item, SteadyTime now) const;
+    // Applies `change` to the fields that follow from the configuration: route, service, start target and
+    // priority. Keeps the ready queues consistent.
     void update(QueueItem& item, const std::function<void(QueueItem&)>& change);
 
+    // The earliest due time of the waiting messages.
     std::optional<SteadyTime> nextDue() const;
     // Messages whose deadline has passed.
     std::vector<QueueItem*> expired(SteadyTime now) const;
+    // Visits a snapshot of the items; `visit` may remove the visited item.
     void forEach(const std::function<void(QueueItem&)>& visit);
     std::size_t size() const { return items_.size(); }
 
 private:
-    using Line = std::map<LinePosition, QueueItem*>;
-    static std::string lineName(const QueueItem& item) { return item.order_scope + '\n' + item.order_key; }
+    using OrderQueue = std::map<OrderPosition, QueueItem*>;
+    static std::string orderQueueName(const QueueItem& item) {
+        return item.order_scope + '\n' + item.order_key;
+    }
 
-    bool firstOfLine(const QueueItem& item) const;
-    void joinLine(QueueItem& item);
-    void detach(QueueItem& item);  // from whatever its state has put it into
-    void arm(QueueItem& item);     // waiting, blocked or held, as things stand
-    void leaveLine(QueueItem& item);
+    bool isFirstInOrder(const QueueItem& item) const;
+    void joinOrderQueue(QueueItem& item);
+    void detach(QueueItem& item);           // from the container that its state implies; drops its grant
+    void setPendingState(QueueItem& item);  // sets the state to waiting, blocked or held
+    void leaveOrderQueue(QueueItem& item);
 
     ReadyQueues& ready_;
-    bool settled_ = false;
+    bool recovered_released_ = false;
     std::unordered_map<MessageId, std::unique_ptr<QueueItem>> items_;
-    std::map<std::string, Line> lines_;
+    std::map<std::string, OrderQueue> order_queues_;
     std::set<std::pair<SteadyTime, QueueItem*>> waiting_;
     std::set<std::pair<SteadyTime, QueueItem*>> deadlines_;
 };
--- a/src/cluster/storage/queue_items.cpp
+++ b/src/cluster/storage/queue_item_factory.cpp
@@ -1,4 +1,4 @@
-#include "cluster/storage/queue_items.hpp"
+#include "cluster/storage/queue_item_factory.hpp"
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 
 constexpr std::string_view kCallbackPrefix = "call-back ";
 constexpr std::string_view kSchemeEnd = "://";
-constexpr Millis kDefaultAim{1000};
-constexpr Millis kCallbackAim{5000};
+constexpr Millis kDefaultScheduleTarget{1000};
+constexpr Millis kCallbackScheduleTarget{5000};
 
 }  // namespace
 
@@ -32,15 +32,15 @@
     item.service = content.service;
     if (content.ordered) item.order_key = content.order_key;
     item.position = {message.epoch, message.sequence};
-    item.after = {message.after_epoch, message.after_sequence};
+    item.predecessor = {message.after_epoch, message.after_sequence};
     item.timeout = kDefaultTimeout;
     item.priority = priorityOf(item.route);
     item.callback_owed = !content.callback_url.empty() && !message.callback_done;
     item.failures = message.failures;
     item.max_failures = message.max_failures;
-    item.wanted = clock_.steadyOf(message.accepted_wall_ms + content.delay_ms);
-    item.aim_until = item.wanted + aimOf(item.route);
-    item.due = item.wanted;
+    item.first_due = clock_.steadyOf(message.accepted_wall_ms + content.delay_ms);
+    item.start_target = item.first_due + scheduleTargetOf(item.route);
+    item.due = item.first_due;
     item.deadline = clock_.steadyOf(message.accepted_wall_ms + message.retention_ms) + kRetentionMargin;
     if (message.phase != Phase::pending) turnIntoCallback(item, content.callback_url);
     return item;
@@ -49,10 +49,10 @@
 void QueueItemFactory::turnIntoCallback(QueueItem& item, const std::string& callback_url) const {
     item.callback = true;
     item.service = callbackDestination(callback_url);
-    item.wanted = clock_.now();
-    item.aim_until = item.wanted + kCallbackAim;
-    item.due = item.wanted;
-    item.deadline = item.wanted + status_kept_;
+    item.first_due = clock_.now();
+    item.start_target = item.first_due + kCallbackScheduleTarget;
+    item.due = item.first_due;
+    item.deadline = item.first_due + status_retention_;
 }
 
 Millis QueueItemFactory::timeoutOf(const QueueItem& item) const {
@@ -60,9 +60,9 @@
     return route ? route->timeout : item.timeout;
 }
 
-Millis QueueItemFactory::aimOf(const std::string& name) const {
+Millis QueueItemFactory::scheduleTargetOf(const std::string& name) const {
     const Route* const route = configuration_ ? configuration_->route(name) : nullptr;
-    return route && route->schedule_target.count() > 0 ? route->schedule_target : kDefaultAim;
+    return route && route->schedule_target.count() > 0 ? route->schedule_target : kDefaultScheduleTarget;
 }
 
 std::uint32_t QueueItemFactory::maxFailuresOf(const QueueItem& item) const {
@@ -81,11 +81,11 @@
     return {route, route == nullptr};
 }
 
-void QueueItemFactory::follow(QueueItem& item, const Route& route) const {
+void QueueItemFactory::applyRoute(QueueItem& item, const Route& route) const {
     item.route = route.name;
     item.service = route.service;
     item.priority = route.priority;
-    item.aim_until = item.wanted + aimOf(route.name);
+    item.start_target = item.first_due + scheduleTargetOf(route.name);
 }
 
 std::int64_t QueueItemFactory::generationFor(const MessageContent& content) const {
--- a/src/cluster/storage/rate_limiter.cpp
+++ b/src/cluster/storage/rate_limiter.cpp
@@ -11,12 +11,13 @@
 constexpr double kMinBurst = 1;
 constexpr double kMaxBurst = 2;
 constexpr std::size_t kMinOutstanding = 2;
-// Servers queue some messages beyond those they work on; more than this is turned away and comes back.
+// Servers queue some messages beyond those that they process; with more than this per slot they reject
+// messages, which then have to be granted again.
 constexpr double kOutstandingPerSlot = 2;
 constexpr std::uint32_t kDownsUntilProbing = 3;
-constexpr Millis kFirstProbe{20};
-constexpr Millis kLastProbe{500};
-constexpr double kTokenSlack = 1e-9;
+constexpr Millis kMinProbeBackoff{20};
+constexpr Millis kMaxProbeBackoff{500};
+constexpr double kTokenTolerance = 1e-9;
 
 }  // namespace
 
@@ -47,8 +48,8 @@
     }
 }
 
-void RateLimiter::limitOutstanding(const std::string& destination, std::uint32_t most) {
-    services_[destination].max_outstanding = most;
+void RateLimiter::limitOutstanding(const std::string& destination, std::uint32_t max_outstanding) {
+    services_[destination].max_outstanding = max_outstanding;
 }
 
 void RateLimiter::setShares(double of_ceilings, double owned, SteadyTime now) {
@@ -69,26 +70,26 @@
 
 void RateLimiter::refill(Service& service, SteadyTime now) {
     if (service.rate_per_s <= 0) return;
-    if (service.refilled == SteadyTime{}) service.refilled = now;  // a bucket starts empty
+    if (service.refilled == SteadyTime{}) service.refilled = now;  // the bucket starts empty
     const double seconds = std::chrono::duration<double>(now - service.refilled).count();
     service.tokens = std::min(service.tokens + seconds * rateOf(service), burstOf(service));
     service.refilled = now;
 }
 
-bool RateLimiter::probing(const Service& service) {
-    return service.downs_in_row >= kDownsUntilProbing;
+bool RateLimiter::isProbing(const Service& service) {
+    return service.consecutive_downs >= kDownsUntilProbing;
 }
 
 bool RateLimiter::mayGrant(const std::string& name, SteadyTime now) {
     Service& service = services_[name];
-    if (probing(service) && (service.outstanding > 0 || now < service.next_probe)) return false;
+    if (isProbing(service) && (service.outstanding > 0 || now < service.next_probe)) return false;
     if (service.max_outstanding > 0 && service.outstanding >= outstandingLimit(service)) return false;
     if (service.rate_per_s <= 0) return true;
     refill(service, now);
-    return service.tokens >= 1 - kTokenSlack;
+    return service.tokens >= 1 - kTokenTolerance;
 }
 
-void RateLimiter::granted(const std::string& name, SteadyTime now) {
+void RateLimiter::recordGrant(const std::string& name, SteadyTime now) {
     Service& service = services_[name];
     ++service.outstanding;
     if (service.rate_per_s <= 0) return;
@@ -96,28 +97,28 @@
     service.tokens -= 1;
 }
 
-void RateLimiter::adopted(const std::string& name) {
+void RateLimiter::recordAdoption(const std::string& name) {
     ++services_[name].outstanding;
 }
 
-void RateLimiter::settled(const std::string& name, DestinationSign sign, SteadyTime now) {
+void RateLimiter::recordEnd(const std::string& name, DestinationStatus destination, SteadyTime now) {
     Service& service = services_[name];
     if (service.outstanding > 0) --service.outstanding;
-    if (sign == DestinationSign::reached) {
-        service.downs_in_row = 0;
+    if (destination == DestinationStatus::reached) {
+        service.consecutive_downs = 0;
         service.probe_backoff = Millis(0);
     }
-    if (sign != DestinationSign::down) return;
-    ++service.downs_in_row;
-    if (!probing(service)) return;
-    service.probe_backoff = std::clamp(service.probe_backoff * 2, kFirstProbe, kLastProbe);
+    if (destination != DestinationStatus::down) return;
+    ++service.consecutive_downs;
+    if (!isProbing(service)) return;
+    service.probe_backoff = std::clamp(service.probe_backoff * 2, kMinProbeBackoff, kMaxProbeBackoff);
     service.next_probe = now + service.probe_backoff;
 }
 
-std::optional<SteadyTime> RateLimiter::nextChance(const std::string& name, SteadyTime now) {
+std::optional<SteadyTime> RateLimiter::nextAllowedTime(const std::string& name, SteadyTime now) {
     Service& service = services_[name];
     SteadyTime next = now;
-    if (probing(service)) {
+    if (isProbing(service)) {
         if (service.outstanding > 0) return std::nullopt;
         next = std::max(next, service.next_probe);
     }
@@ -140,9 +141,9 @@
     return found != services_.end() && found->second.endpoint;
 }
 
-bool RateLimiter::down(const std::string& name) const {
+bool RateLimiter::isDown(const std::string& name) const {
     const auto found = services_.find(name);
-    return found != services_.end() && probing(found->second);
+    return found != services_.end() && isProbing(found->second);
 }
 
 }  // namespace amberswitch::cluster::storage
--- a/src/cluster/storage/ready_queues.cpp
+++ b/src/cluster/storage/ready_queues.cpp
@@ -5,13 +5,13 @@
 namespace amberswitch::cluster::storage {
 
 ReadyQueues::Key ReadyQueues::keyOf(QueueItem& item) {
-    return {item.priority, item.wanted, item.position, &item};
+    return {item.priority, item.first_due, item.position, &item};
 }
 
 void ReadyQueues::add(QueueItem& item) {
     Service& service = services_[item.service];
     service.in_time.insert(keyOf(item));
-    service.aims.emplace(item.aim_until, &item);
+    service.start_targets.emplace(item.start_target, &item);
 }
 
 void ReadyQueues::remove(QueueItem& item) {
@@ -21,21 +21,21 @@
     service.in_time.erase(keyOf(item));
     service.late.erase(keyOf(item));
     service.too_late.erase(keyOf(item));
-    service.aims.erase({item.aim_until, &item});
+    service.start_targets.erase({item.start_target, &item});
     if (service.empty()) services_.erase(found);
 }
 
 void ReadyQueues::moveLate(Service& service, SteadyTime now) {
-    while (!service.aims.empty() && service.aims.begin()->first < now + kWayToServer) {
-        QueueItem& item = *service.aims.begin()->second;
-        service.aims.erase(service.aims.begin());
+    while (!service.start_targets.empty() && service.start_targets.begin()->first < now + kDeliveryLeadTime) {
+        QueueItem& item = *service.start_targets.begin()->second;
+        service.start_targets.erase(service.start_targets.begin());
         service.in_time.erase(keyOf(item));
         service.late.insert(keyOf(item));
     }
 }
 
 void ReadyQueues::moveTooLate(Service& service, SteadyTime now) {
-    // Only the first ones are looked at: what stands behind them is served later in any case.
+    // Checks only the first messages: those behind them are served later in any case.
     while (!service.late.empty()) {
         const auto first = service.late.begin();
         if (std::get<SteadyTime>(*first) + kTooLateAfter >= now) return;
@@ -73,7 +73,8 @@
     std::vector<Order> heads;
     for (auto& [name, service] : services_) {
         const QueueItem* const first = head(name, now);
-        heads.emplace_back(first->aim_until < now + kWayToServer, first->priority, first->wanted, name);
+        heads.emplace_back(first->start_target < now + kDeliveryLeadTime, first->priority, first->first_due,
+                           name);
     }
     std::sort(heads.begin(), heads.end());
     std::vector<std::string> names;
--- a/src/cluster/storage/storage_error.hpp
+++ b/src/cluster/storage/storage_error.hpp
@@ -1,4 +1,4 @@
-// The error of everything that touches the data folder.
+// The exception for failed operations on the data folder.
 #pragma once
 
 #include <cerrno>
@@ -8,12 +8,12 @@
 
 namespace amberswitch::cluster {
 
-// what(): "PATH: OPERATION: REASON".
+// what() has the form "PATH: OPERATION: REASON".
 class StorageError : public std::runtime_error {
 public:
     StorageError(const std::string& path, const std::string& operation, const std::string& reason)
         : std::runtime_error(path + ": " + operation + ": " + reason) {}
-    // The reason is that of the last system call (errno).
+    // Takes the reason from errno, as set by the last system call.
     static StorageError fromErrno(const std::string& path, const std::string& operation) {
         return {path, operation, std::strerror(errno)};
     }
--- a/src/cluster/storage/store_node.cpp
+++ b/src/cluster/storage/store_node.cpp
@@ -92,7 +92,7 @@
         if (item != nullptr) item->holders.insert(store);
     };
     hooks.is_storing = [this](PartitionId partition, const MessageId& id) {
-        return accepts_.underWay(partition, id);
+        return accepts_.inProgress(partition, id);
     };
     hooks.on_done = [this](PartitionId partition, Epoch epoch) {
         Epoch& newest = last_peering_done_[partition];
@@ -146,7 +146,7 @@
     accepts_.tick();
     edge_watch_.tick();
     for (auto& [partition, owned] : owned_) {
-        if (owned->active) outcomes_.endOverdue(*owned);
+        if (owned->active) outcomes_.endExpired(*owned);
     }
     replicator_.flush();
     updateShare();
@@ -230,10 +230,10 @@
         const PartitionOwner& assignment = view.partitions[partition];
         const bool previous_runs = !assignment.previous_stopped && assignment.previous >= 0 &&
                                    assignment.previous != assignment.owner;
-        owned->share_from = clock_.now() + (previous_runs ? kPreviousOwnerRuns : Millis(0));
+        owned->ceiling_share_from = clock_.now() + (previous_runs ? kPreviousOwnerRuns : Millis(0));
     } else {
         owned->queue.forEach([this](QueueItem& item) {
-            if (!accepts_.underWay(item.partition, item.id)) item.holders.clear();
+            if (!accepts_.inProgress(item.partition, item.id)) item.holders.clear();
         });
         accepts_.onView(partition);
     }
@@ -256,7 +256,7 @@
                 {item.partition, item.id, item.grant->id.attempt, item.grant->id.epoch, item.callback});
         });
     }
-    book_.forget(owned, clock_.now());
+    book_.endAll(owned, clock_.now());
     peering_.cancel(partition);
     owned_.erase(partition);
     accepts_.abandon(partition);
@@ -280,7 +280,7 @@
         return;
     }
     owned->active = true;
-    owned->settle_by = clock_.now() + storage::kSettleAtMost;
+    owned->release_recovered_by = clock_.now() + storage::kMaxRecoveredHold;
     recoverAll(*owned);
     std::vector<RunningAttempt> granted = running;
     const auto former = former_grants_.find(partition);
@@ -313,15 +313,15 @@
         setHolders(*item);
         if (item->state != storage::ItemState::storing) outcomes_.applyConfiguration(*owned, *item);
     }
-    outcomes_.endOverdue(*owned);  // before any of it is granted
+    outcomes_.endExpired(*owned);  // before any of it is granted
     granter_.schedule();
 }
 
 std::vector<MessageId> StoreNode::Impl::newestFirst(PartitionId partition, std::vector<MessageId> ids) {
     const auto position = [this, partition](const MessageId& id) {
         const storage::StoredMessage* const message = replica_.find(partition, id);
-        return message == nullptr ? storage::LinePosition{}
-                                  : storage::LinePosition{message->epoch, message->sequence};
+        return message == nullptr ? storage::OrderPosition{}
+                                  : storage::OrderPosition{message->epoch, message->sequence};
     };
     std::sort(ids.begin(), ids.end(),
               [&position](const MessageId& a, const MessageId& b) { return position(a) > position(b); });
@@ -339,7 +339,7 @@
     for (const auto& [partition, owned] : owned_) {
         if (!owned->active) continue;
         ++active;
-        if (owned->share_from <= clock_.now()) ++counted;
+        if (owned->ceiling_share_from <= clock_.now()) ++counted;
     }
     const auto all = static_cast<double>(view_->partitions.size());
     book_.limiter.setShares(counted / all, active / all, clock_.now());
@@ -379,7 +379,7 @@
 
 void StoreNode::Impl::finishLeaving() {
     if (!leaving_ || successors_done_) return;
-    if (!awaiting_pull_.empty() || accepts_.underWay() > 0 || !replicator_.idle()) return;
+    if (!awaiting_pull_.empty() || accepts_.inProgress() > 0 || !replicator_.idle()) return;
     successors_done_ = true;
     grace_timer_ = scheduler_.after(kLastAnswers, [this] {
         if (on_left_) std::exchange(on_left_, nullptr)();
--- a/src/cluster/storage/store_node_impl.hpp
+++ b/src/cluster/storage/store_node_impl.hpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <set>
 
-#include "cluster/storage/accepts.hpp"
 #include "cluster/storage/edge_watch.hpp"
+#include "cluster/storage/message_acceptor.hpp"
 #include "cluster/storage/peering_driver.hpp"
 #include "cluster/storage/store_node.hpp"
 
@@ -91,13 +91,13 @@
     storage::Placement placement_;
     storage::Replica replica_;
     storage::Replicator replicator_;
-    storage::GrantBook book_;  // before owned_: the queues refer to it
+    storage::GrantTable book_;  // before owned_: the queues refer to it
     storage::OwnedPartitions owned_;
     storage::QueueItemFactory items_;
-    storage::Outcomes outcomes_;
+    storage::OutcomeHandler outcomes_;
     storage::Granter granter_;
     storage::EdgeWatch edge_watch_;
-    storage::Accepts accepts_;
+    storage::MessageAcceptor accepts_;
     storage::PeeringDriver peering_;
 
     std::shared_ptr<const StoreView> view_;
--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -57,13 +57,13 @@
 }
 
 void StoreNode::Impl::onAccept(AcceptMessageRequest request, const Responder& respond) {
-    edge_watch_.heard(request.edge, request.edge_address);
+    edge_watch_.recordContact(request.edge, request.edge_address);
     accepts_.accept(std::move(request),
                     [respond](const AcceptMessageReply& answer) { respond(reply(answer)); });
 }
 
 void StoreNode::Impl::onReport(RunReport report, const Responder& respond) {
-    edge_watch_.heard(report.edge, report.edge_address);
+    edge_watch_.recordContact(report.edge, report.edge_address);
     RunReportReply answer;
     // Nobody is told that something has ended on the account of a disk that fails: the edge asks again.
     const bool takes = disk_.healthy();
--- a/src/cluster/storage/store_node_status.cpp
+++ b/src/cluster/storage/store_node_status.cpp
@@ -21,7 +21,7 @@
                 return;
             }
             ++pending[item.service];
-            if (!oldest || item.wanted < *oldest) oldest = item.wanted;
+            if (!oldest || item.first_due < *oldest) oldest = item.first_due;
         });
     }
     const Millis age = oldest ? std::chrono::duration_cast<Millis>(clock_.now() - *oldest) : Millis(0);
@@ -46,7 +46,7 @@
     number("partitions_peering", peering_.unfinished());
     number("copies_lacking", peering_.copiesLacking());
     number("messages_kept", replica_.size());
-    number("grants_out", book_.edges.outstanding());
+    number("grants_out", book_.edges.outstandingGrants());
     number("call_backs_pending", call_backs);
     writer.Key("oldest_due_ms");
     writer.Int64(std::max<std::int64_t>(0, age.count()));
@@ -70,7 +70,7 @@
     text.add("partitions_peering", peering_.unfinished());
     text.add("copies_lacking", peering_.copiesLacking());
     text.add("messages_kept", replica_.size());
-    text.add("grants_out", book_.edges.outstanding());
+    text.add("grants_out", book_.edges.outstandingGrants());
     text.add("disk_live_bytes", usage.live_bytes);
     text.add("configuration", configuration_ ? static_cast<std::uint64_t>(configuration_->generation) : 0);
     return text.take() + book_.counters.text();
--- a/src/cluster/storage/wall_shift.hpp
+++ b/src/cluster/storage/wall_shift.hpp
@@ -1,4 +1,5 @@
-// Times of day in messages between stores are by the sender's clock; the receiver moves them to its own.
+// Wall-clock times in messages between stores follow the sender's clock; the receiver converts them to its
+// own by adding the difference of the clocks. Fields that are 0 are not set and stay 0.
 #pragma once
 
 #include "cluster/common/messages.hpp"
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -15,7 +15,7 @@
 #include "cluster/common/topology.hpp"
 #include "cluster/common/traffic_meter.hpp"
 #include "cluster/edge/partition_map.hpp"
-#include "cluster/storage/edges.hpp"
+#include "cluster/storage/edge_registry.hpp"
 #include "cluster/storage/placement.hpp"
 
 using namespace amberswitch::cluster;
@@ -146,9 +146,9 @@
 }
 
 TEST_CASE("the next run goes to the nearest edge that may take one") {
-    Edges edges("east-a", twoRegions(), 1);
+    EdgeRegistry edges("east-a", twoRegions(), 1);
     const auto add = [&edges](const std::string& name, const std::string& zone) {
-        Edge& edge = edges.heard(name, {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.recordContact(name, {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zone;
     };
@@ -168,11 +168,11 @@
 constexpr std::size_t kSenders = 8;
 
 // Of a store in that zone, which knows edges in three zones of two regions.
-Edges manyEdges(const std::string& zone, std::uint64_t seed) {
-    Edges edges(zone, twoRegions(), seed);
+EdgeRegistry manyEdges(const std::string& zone, std::uint64_t seed) {
+    EdgeRegistry edges(zone, twoRegions(), seed);
     const std::vector<std::string> zones{"east-a", "east-b", "west-a"};
     for (int i = 0; i < kManyEdges; ++i) {
-        Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zones[static_cast<std::size_t>(i) % zones.size()];
     }
@@ -180,7 +180,7 @@
 }
 
 // Those that the store chooses for as many call-backs that are all under way.
-std::set<std::string> sendersOf(Edges& edges, const std::string& receiver, std::size_t callbacks) {
+std::set<std::string> sendersOf(EdgeRegistry& edges, const std::string& receiver, std::size_t callbacks) {
     std::vector<QueueItem> items(callbacks);
     std::set<std::string> senders;
     for (QueueItem& item : items) {
@@ -196,8 +196,8 @@
 }  // namespace
 
 TEST_CASE("stores of all zones choose the same few senders for a receiver of call-backs") {
-    Edges east = manyEdges("east-a", 1);
-    Edges west = manyEdges("west-a", 2);
+    EdgeRegistry east = manyEdges("east-a", 1);
+    EdgeRegistry west = manyEdges("west-a", 2);
     const std::set<std::string> senders = sendersOf(east, "10.9.0.1:80", 3 * kSenders);
     CHECK(senders.size() == kSenders);
     CHECK(sendersOf(west, "10.9.0.1:80", 3 * kSenders) == senders);
@@ -205,7 +205,7 @@
 }
 
 TEST_CASE("a call-back goes to the nearest sender that is as free as the others") {
-    Edges edges = manyEdges("east-a", 1);
+    EdgeRegistry edges = manyEdges("east-a", 1);
     const std::set<std::string> senders = sendersOf(edges, "10.9.0.1:80", kSenders);
     const auto distanceOf = [&](const std::string& name) {
         return twoRegions().between("east-a", edges.find(name)->zone);
@@ -218,7 +218,7 @@
 }
 
 TEST_CASE("senders that have gone are replaced, those that may take nothing are not used") {
-    Edges edges = manyEdges("east-a", 1);
+    EdgeRegistry edges = manyEdges("east-a", 1);
     const std::set<std::string> before = sendersOf(edges, "10.9.0.1:80", 3 * kSenders);
     edges.find(*before.begin())->usable = false;
     std::set<std::string> usable = before;
--- a/tests/cluster/store_far_edge_test.cpp
+++ b/tests/cluster/store_far_edge_test.cpp
@@ -1,5 +1,5 @@
-// Edges of another region, which a store hears less often: a grant is taken back on evidence from after it
-// was given, never on a silence from before.
+// Edges of another region, whose heartbeats are less frequent while they are idle. Guards against requeueing
+// a message because its edge was silent before the grant: only evidence from after the grant counts.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -25,7 +25,7 @@
     for (auto& edge : play.edges) edge->run_time = Millis(90);
 }
 
-// Messages of both kinds, few enough that edges rest between them.
+// Ordered and unordered messages, with pauses in which edges become idle.
 void submitSome(StoreWorld& play, int messages) {
     for (int i = 0; i < messages; ++i) {
         const bool ordered = play.world.chance() < 0.5;
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("without trouble nothing runs twice at edges that rest") {
+TEST_CASE("without faults no message runs twice at idle edges of another region") {
     for (std::uint64_t seed = 1; seed <= seedsOfPlay(60); ++seed) {
         CAPTURE(seed);
         StoreWorld play(seed, farEdges());
@@ -60,8 +60,7 @@
     }
 }
 
-TEST_CASE(
-    "what a far edge held that lost its power, or is cut off, is granted to others within two seconds") {
+TEST_CASE("messages of a far edge that loses power or is cut off are granted to others within two seconds") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         StoreWorld play(seed, farEdges());
@@ -69,7 +68,7 @@
         play.world.run(Millis(3000));
         for (auto& edge : play.edges) {
             edge->wants_grants = false;
-            edge->run_time = Millis(4000);  // longer than it takes to notice
+            edge->run_time = Millis(4000);  // longer than the detection of a lost edge
         }
         for (int i = 0; i < 20; ++i) play.edges[0]->submit(play.content("plain"), 3);
         play.world.run(Millis(300));
--- a/tests/cluster/store_limits_test.cpp
+++ b/tests/cluster/store_limits_test.cpp
@@ -1,4 +1,5 @@
-// Ceilings, connection limits, probing of what is down, and the choice of edges.
+// Tests the rate limiter (ceilings, limits of outstanding attempts, probing of destinations that are down)
+// and the choice of an edge for a grant.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -6,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "cluster/storage/edges.hpp"
+#include "cluster/storage/edge_registry.hpp"
 #include "cluster/storage/rate_limiter.hpp"
 
 using namespace amberswitch::cluster;
@@ -27,13 +28,14 @@
     return configuration;
 }
 
-// Takes what can be had in that span, asking every millisecond; every attempt ends at once.
+// Grants as much as the limiter allows during `span`, asking every millisecond; every attempt ends at once.
+// Advances `now` to the end of the span.
 int takeAll(RateLimiter& limiter, SteadyTime& now, Millis span) {
     int taken = 0;
     for (const SteadyTime end = now + span; now < end; now += Millis(1)) {
         while (limiter.mayGrant("partner", now)) {
-            limiter.granted("partner", now);
-            limiter.settled("partner", DestinationSign::reached, now);
+            limiter.recordGrant("partner", now);
+            limiter.recordEnd("partner", DestinationStatus::reached, now);
             ++taken;
         }
     }
@@ -42,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("a store takes its share of 0.95 of the ceiling, and starts with nothing") {
+TEST_CASE("a store uses its share of 0.95 of the ceiling, and starts with an empty bucket") {
     RateLimiter limiter;
     limiter.configure(oneService(40));
     limiter.setShares(0.5, 0.5, kStart);
@@ -53,7 +55,7 @@
     CHECK(taken >= 188);
 }
 
-TEST_CASE("after a silence little is saved up") {
+TEST_CASE("an idle period accumulates at most a small burst") {
     RateLimiter limiter;
     limiter.configure(oneService(100));
     limiter.setShares(1, 1, kStart);
@@ -63,15 +65,15 @@
     CHECK(takeAll(limiter, now, Millis(1)) <= 2);
 }
 
-TEST_CASE("without a share nothing is granted, and other services do not care") {
+TEST_CASE("without a share a service with a ceiling gets no grants, and other services are unaffected") {
     RateLimiter limiter;
     limiter.configure(oneService(100));
     CHECK(!limiter.mayGrant("partner", kStart + Millis(5000)));
-    CHECK(!limiter.nextChance("partner", kStart + Millis(5000)).has_value());
+    CHECK(!limiter.nextAllowedTime("partner", kStart + Millis(5000)).has_value());
     CHECK(limiter.mayGrant("other", kStart));
 }
 
-TEST_CASE("a new share counts from its moment on") {
+TEST_CASE("a new share applies only from the time at which it is set") {
     RateLimiter limiter;
     limiter.configure(oneService(10));
     limiter.setShares(0.1, 0.1, kStart);
@@ -82,78 +84,78 @@
     CHECK(takeAll(limiter, now, Millis(5000)) <= 48);
 }
 
-TEST_CASE("the next chance is when the next token is there") {
+TEST_CASE("nextAllowedTime is the time at which the next token is available") {
     RateLimiter limiter;
     limiter.configure(oneService(10));
     limiter.setShares(1, 1, kStart);
     CHECK(!limiter.mayGrant("partner", kStart));
-    const auto chance = limiter.nextChance("partner", kStart);
-    REQUIRE(chance.has_value());
-    CHECK(*chance > kStart);
-    CHECK(!limiter.mayGrant("partner", *chance - Millis(1)));
-    CHECK(limiter.mayGrant("partner", *chance));
+    const auto allowed = limiter.nextAllowedTime("partner", kStart);
+    REQUIRE(allowed.has_value());
+    CHECK(*allowed > kStart);
+    CHECK(!limiter.mayGrant("partner", *allowed - Millis(1)));
+    CHECK(limiter.mayGrant("partner", *allowed));
 }
 
-TEST_CASE("connections of a static service are shared out, two at least") {
+TEST_CASE("a store gets its share of the connections of a static service, and at least two") {
     RateLimiter limiter;
     limiter.configure(oneService(0, 12));
     limiter.setShares(0.25, 0.25, kStart);
     for (int i = 0; i < 3; ++i) {
         REQUIRE(limiter.mayGrant("partner", kStart));
-        limiter.granted("partner", kStart);
+        limiter.recordGrant("partner", kStart);
     }
     CHECK(!limiter.mayGrant("partner", kStart));
-    limiter.settled("partner", DestinationSign::reached, kStart);
+    limiter.recordEnd("partner", DestinationStatus::reached, kStart);
     CHECK(limiter.mayGrant("partner", kStart));
     limiter.setShares(0.01, 0.01, kStart);
     CHECK(!limiter.mayGrant("partner", kStart));
-    limiter.settled("partner", DestinationSign::reached, kStart);
+    limiter.recordEnd("partner", DestinationStatus::reached, kStart);
     CHECK(limiter.mayGrant("partner", kStart));
 }
 
-TEST_CASE("a destination that is down is probed one at a time, ever more seldom, until it answers") {
+TEST_CASE("a destination that is down gets single probes with growing backoff until it answers") {
     RateLimiter limiter;
     SteadyTime now = kStart;
-    for (int i = 0; i < 3; ++i) limiter.granted("partner", now);
-    for (int i = 0; i < 3; ++i) limiter.settled("partner", DestinationSign::down, now);
-    CHECK(limiter.down("partner"));
+    for (int i = 0; i < 3; ++i) limiter.recordGrant("partner", now);
+    for (int i = 0; i < 3; ++i) limiter.recordEnd("partner", DestinationStatus::down, now);
+    CHECK(limiter.isDown("partner"));
     CHECK(!limiter.mayGrant("partner", now));
     int probes = 0;
     for (const SteadyTime end = now + Millis(10000); now < end; now += Millis(1)) {
         if (!limiter.mayGrant("partner", now)) continue;
-        limiter.granted("partner", now);
+        limiter.recordGrant("partner", now);
         CHECK(!limiter.mayGrant("partner", now + Millis(400)));
-        limiter.settled("partner", DestinationSign::down, now);
+        limiter.recordEnd("partner", DestinationStatus::down, now);
         ++probes;
     }
     CHECK(probes >= 19);
     CHECK(probes <= 26);
     now += Millis(500);
     REQUIRE(limiter.mayGrant("partner", now));
-    limiter.granted("partner", now);
-    limiter.settled("partner", DestinationSign::reached, now);
-    CHECK(!limiter.down("partner"));
+    limiter.recordGrant("partner", now);
+    limiter.recordEnd("partner", DestinationStatus::reached, now);
+    CHECK(!limiter.isDown("partner"));
     CHECK(limiter.mayGrant("partner", now));
 }
 
-TEST_CASE("outcomes that say nothing of the destination do not end the probing") {
+TEST_CASE("outcomes that show nothing about the destination do not end the probing") {
     RateLimiter limiter;
-    for (int i = 0; i < 3; ++i) limiter.granted("partner", kStart);
-    for (int i = 0; i < 3; ++i) limiter.settled("partner", DestinationSign::down, kStart);
-    limiter.granted("partner", kStart + Millis(30));
-    limiter.settled("partner", DestinationSign::nothing, kStart + Millis(31));
-    CHECK(limiter.down("partner"));
+    for (int i = 0; i < 3; ++i) limiter.recordGrant("partner", kStart);
+    for (int i = 0; i < 3; ++i) limiter.recordEnd("partner", DestinationStatus::down, kStart);
+    limiter.recordGrant("partner", kStart + Millis(30));
+    limiter.recordEnd("partner", DestinationStatus::unknown, kStart + Millis(31));
+    CHECK(limiter.isDown("partner"));
 }
 
-TEST_CASE("edges of the own zone are preferred; silent, leaving, unheard and full ones get nothing") {
-    Edges edges("here", {}, 1);
+TEST_CASE("edges of the own zone are preferred; silent, leaving, unsynced and full edges get no grants") {
+    EdgeRegistry edges("here", {}, 1);
     CHECK(edges.choose(kStart) == nullptr);
-    Edge& far = edges.heard("far", {"10.2.0.1", 1}, kStart);
-    CHECK(edges.choose(kStart) == nullptr);  // it has not told what it runs
+    Edge& far = edges.recordContact("far", {"10.2.0.1", 1}, kStart);
+    CHECK(edges.choose(kStart) == nullptr);  // no edge_sync has arrived from it yet
     far.synced_epoch = 1;
     far.zone = "there";
     CHECK(edges.choose(kStart)->name == "far");
-    Edge& near = edges.heard("near", {"10.2.0.2", 1}, kStart);
+    Edge& near = edges.recordContact("near", {"10.2.0.2", 1}, kStart);
     near.synced_epoch = 1;
     near.zone = "here";
     for (int i = 0; i < 20; ++i) CHECK(edges.choose(kStart)->name == "near");
@@ -162,7 +164,7 @@
     near.leaving = false;
     near.usable = false;
     CHECK(edges.choose(kStart)->name == "far");
-    edges.heard("near", {"10.2.0.2", 1}, kStart);
+    edges.recordContact("near", {"10.2.0.2", 1}, kStart);
     CHECK(edges.choose(kStart)->name == "near");
     const Millis silent = kEdgeHeartbeat + kHeartbeatSlack;
     CHECK(edges.choose(kStart + silent)->name == "near");
@@ -170,14 +172,14 @@
     std::vector<QueueItem> items(kMaxGrantsPerEdge);
     for (QueueItem& item : items) edges.attach("near", item);
     CHECK(edges.choose(kStart)->name == "far");
-    CHECK(edges.outstanding() == kMaxGrantsPerEdge);
+    CHECK(edges.outstandingGrants() == kMaxGrantsPerEdge);
 }
 
-TEST_CASE("the less busy of two edges is chosen more often") {
-    Edges edges("here", {}, 1);
+TEST_CASE("the edge with fewer grants is chosen more often") {
+    EdgeRegistry edges("here", {}, 1);
     std::vector<QueueItem> items(10);
     for (const char* name : {"busy", "idle"}) {
-        Edge& edge = edges.heard(name, {"10.2.0.1", 1}, kStart);
+        Edge& edge = edges.recordContact(name, {"10.2.0.1", 1}, kStart);
         edge.synced_epoch = 1;
         edge.zone = "here";
     }
@@ -187,32 +189,33 @@
     CHECK(idle > 60);
 }
 
-TEST_CASE("runs for one destination go to the same few edges until these have clearly more to do") {
-    Edges edges("here", {}, 1);
+TEST_CASE("grants for one destination go to the same few edges until these hold clearly more than the mean") {
+    EdgeRegistry edges("here", {}, 1);
     for (int i = 0; i < 8; ++i) {
-        Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
+        Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
         edge.synced_epoch = 1;
         edge.zone = "here";
     }
     std::set<std::string> first;
-    for (int i = 0; i < 20; ++i) first.insert(edges.chooseFor("partner", kStart)->name);
+    for (int i = 0; i < 20; ++i) first.insert(edges.chooseForDestination("partner", kStart)->name);
     CHECK(first.size() == 1);
     std::set<std::string> of_all;
-    for (int i = 0; i < 40; ++i) of_all.insert(edges.chooseFor("partner-" + std::to_string(i), kStart)->name);
+    for (int i = 0; i < 40; ++i)
+        of_all.insert(edges.chooseForDestination("partner-" + std::to_string(i), kStart)->name);
     CHECK(of_all.size() > 4);
     std::vector<QueueItem> items(80);
-    for (QueueItem& item : items) edges.attach(edges.chooseFor("partner", kStart)->name, item);
+    for (QueueItem& item : items) edges.attach(edges.chooseForDestination("partner", kStart)->name, item);
     std::size_t most = 0;
     edges.forEach([&most](Edge& edge) { most = std::max(most, edge.grants.size()); });
     CHECK(most <= 15);
     edges.find(*first.begin())->leaving = true;
-    CHECK(edges.chooseFor("partner", kStart)->name != *first.begin());
+    CHECK(edges.chooseForDestination("partner", kStart)->name != *first.begin());
 }
 
-TEST_CASE("a second run for a destination goes to another of its few edges, whose connection is free") {
-    Edges edges("here", {}, 1);
+TEST_CASE("a second grant for a destination goes to another preferred edge, whose connection is unused") {
+    EdgeRegistry edges("here", {}, 1);
     for (int i = 0; i < 8; ++i) {
-        Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
+        Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
         edge.synced_epoch = 1;
         edge.zone = "here";
     }
@@ -221,37 +224,37 @@
     for (QueueItem& item : items) {
         item.grant = OutstandingGrant{};
         item.grant->service = "partner";
-        chosen.push_back(edges.chooseFor("partner", kStart)->name);
+        chosen.push_back(edges.chooseForDestination("partner", kStart)->name);
         edges.attach(chosen.back(), item);
     }
     const std::set<std::string> first_three(chosen.begin(), chosen.begin() + 3);
     CHECK(first_three.size() == 3);
     CHECK(first_three.contains(chosen.back()));
-    CHECK(edges.chooseFor("other", kStart) != nullptr);
+    CHECK(edges.chooseForDestination("other", kStart) != nullptr);
 }
 
 TEST_CASE("stores of several zones choose several edges for one destination") {
     std::set<std::string> chosen;
     for (int zone = 0; zone < 6; ++zone) {
         const std::string store_zone = "zone-" + std::to_string(zone);
-        Edges edges(store_zone, Topology({{store_zone, "stores"}, {"there", "edges"}}), 1);
+        EdgeRegistry edges(store_zone, Topology({{store_zone, "stores"}, {"there", "edges"}}), 1);
         for (int i = 0; i < 40; ++i) {
-            Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
+            Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kStart);
             edge.synced_epoch = 1;
             edge.zone = "there";
         }
-        chosen.insert(edges.chooseFor("partner", kStart)->name);
+        chosen.insert(edges.chooseForDestination("partner", kStart)->name);
     }
     CHECK(chosen.size() >= 4);
 }
 
-TEST_CASE("an edge of another region leaves a run to a near one, if one may take it") {
-    Edges edges("here", Topology({{"here", "east"}, {"beside", "east"}, {"there", "west"}}), 1);
-    Edge& far = edges.heard("far", {"10.2.0.1", 1}, kStart);
+TEST_CASE("an edge of another region gets no grant at accept while a near edge can take it") {
+    EdgeRegistry edges("here", Topology({{"here", "east"}, {"beside", "east"}, {"there", "west"}}), 1);
+    Edge& far = edges.recordContact("far", {"10.2.0.1", 1}, kStart);
     far.synced_epoch = 1;
     far.zone = "there";
     CHECK_FALSE(edges.hasNearerThan(far, kStart));
-    Edge& near = edges.heard("near", {"10.2.0.2", 1}, kStart);
+    Edge& near = edges.recordContact("near", {"10.2.0.2", 1}, kStart);
     near.synced_epoch = 1;
     near.zone = "beside";
     const SteadyTime later = kStart + Millis(200);
@@ -261,51 +264,52 @@
     CHECK_FALSE(edges.hasNearerThan(far, later + Millis(200)));
 }
 
-TEST_CASE("all have told once each connected edge, and as many as there should be, named the view") {
-    Edges edges("here", {}, 1);
+TEST_CASE("allSynced needs every connected edge, and the expected number of edges, to have synced the view") {
+    EdgeRegistry edges("here", {}, 1);
     CHECK(edges.allSynced(1, 0, kStart));
     CHECK(!edges.allSynced(1, 2, kStart));
-    edges.heard("a", {"10.2.0.1", 1}, kStart).synced_epoch = 4;
+    edges.recordContact("a", {"10.2.0.1", 1}, kStart).synced_epoch = 4;
     CHECK(!edges.allSynced(4, 2, kStart));
-    edges.heard("b", {"10.2.0.2", 1}, kStart).synced_epoch = 3;
+    edges.recordContact("b", {"10.2.0.2", 1}, kStart).synced_epoch = 3;
     CHECK(!edges.allSynced(4, 2, kStart));
     edges.find("b")->synced_epoch = 4;
     CHECK(edges.allSynced(4, 2, kStart));
     edges.find("b")->synced_epoch = 3;
     const SteadyTime b_is_gone = kStart + kEdgeHeartbeat + kHeartbeatGone + Millis(1);
-    edges.heard("a", {"10.2.0.1", 1}, b_is_gone);
+    edges.recordContact("a", {"10.2.0.1", 1}, b_is_gone);
     CHECK(edges.allSynced(4, 1, b_is_gone));
 }
 
-TEST_CASE("an edge counts as silent by the heartbeat that it promised itself") {
-    Edges edges("here", {}, 1);
-    Edge& rests = edges.heard("rests", {"10.2.0.1", 1}, kStart);
-    rests.synced_epoch = 1;
-    rests.heartbeat = kHeartbeatsWhileIdle * kEdgeHeartbeat;
-    CHECK(edges.choose(kStart + kEdgeHeartbeat + kHeartbeatSlack + Millis(1))->name == "rests");
-    CHECK(edges.choose(kStart + rests.heartbeat + kHeartbeatSlack + Millis(1)) == nullptr);
+TEST_CASE("an edge counts as silent by the heartbeat interval that it announced") {
+    EdgeRegistry edges("here", {}, 1);
+    Edge& idle = edges.recordContact("idle", {"10.2.0.1", 1}, kStart);
+    idle.synced_epoch = 1;
+    idle.heartbeat = kHeartbeatsWhileIdle * kEdgeHeartbeat;
+    CHECK(edges.choose(kStart + kEdgeHeartbeat + kHeartbeatSlack + Millis(1))->name == "idle");
+    CHECK(edges.choose(kStart + idle.heartbeat + kHeartbeatSlack + Millis(1)) == nullptr);
 }
 
-TEST_CASE("an edge that is asked whether it is there gets nothing until it is heard") {
-    Edges edges("here", {}, 1);
-    Edge& edge = edges.heard("edge", {"10.2.0.1", 1}, kStart);
+TEST_CASE("an edge with a pending probe gets no grants until its next contact") {
+    EdgeRegistry edges("here", {}, 1);
+    Edge& edge = edges.recordContact("edge", {"10.2.0.1", 1}, kStart);
     edge.synced_epoch = 1;
-    edge.asked = kStart + Millis(10);
+    edge.probed = kStart + Millis(10);
     CHECK(edges.choose(kStart + Millis(20)) == nullptr);
-    edges.heard("edge", {"10.2.0.1", 1}, kStart + Millis(30));
+    edges.recordContact("edge", {"10.2.0.1", 1}, kStart + Millis(30));
     CHECK(edges.choose(kStart + Millis(40))->name == "edge");
 }
 
-TEST_CASE("a listed service gets no more at once than twice its slots, by the partitions that are owned") {
+TEST_CASE("a listed service has at most twice its slots outstanding, by the share of owned partitions") {
     RateLimiter limiter;
     const SteadyTime now{std::chrono::seconds(1000)};
     limiter.setCapacities({{"board", 12}});
-    limiter.setShares(0, 0.5, now);  // ceilings of a new owner wait; what it owns counts at once
-    for (int granted = 0; granted < 12; ++granted) {
+    limiter.setShares(0, 0.5,
+                      now);  // a new owner may not use its ceilings yet, but its owned share counts at once
+    for (int grants = 0; grants < 12; ++grants) {
         REQUIRE(limiter.mayGrant("board", now));
-        limiter.granted("board", now);
+        limiter.recordGrant("board", now);
     }
     CHECK_FALSE(limiter.mayGrant("board", now));
-    limiter.settled("board", DestinationSign::reached, now);
+    limiter.recordEnd("board", DestinationStatus::reached, now);
     CHECK(limiter.mayGrant("board", now));
 }
--- a/tests/cluster/store_queue_test.cpp
+++ b/tests/cluster/store_queue_test.cpp
@@ -1,4 +1,4 @@
-// Who may run next: lines of ordered messages, due times, priorities.
+// Tests which message of a partition may run next: order keys, due times, deadlines and priorities.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -20,20 +20,20 @@
     made.order_key = order_key;
     made.position.epoch = epoch;
     made.position.sequence = sequence;
-    made.wanted = kNow;
-    made.aim_until = kNow + Millis(1000);
+    made.first_due = kNow;
+    made.start_target = kNow + Millis(1000);
     made.due = kNow;
     made.deadline = kNow + Millis(90000);
     return made;
 }
 
-struct Queue {
+struct QueueFixture {
     ReadyQueues ready;
     PartitionQueue queue{ready};
 
-    QueueItem& stored(QueueItem fresh) {
-        QueueItem& added = queue.add(std::move(fresh));
-        queue.stored(added);
+    QueueItem& addStored(QueueItem new_item) {
+        QueueItem& added = queue.add(std::move(new_item));
+        queue.markStored(added);
         return added;
     }
     std::string head(SteadyTime now = kNow) {
@@ -54,170 +54,170 @@
 
 }  // namespace
 
-TEST_CASE("of a line only the first may run, whatever else is ready") {
-    Queue play;
-    play.stored(item("a1", 1, "a"));
-    play.stored(item("a2", 2, "a"));
-    play.stored(item("b1", 3, "b"));
-    CHECK(play.grantHead().id == "a1");
-    CHECK(play.grantHead().id == "b1");
-    CHECK(play.head().empty());
-    play.end("a1");
-    CHECK(play.head() == "a2");
+TEST_CASE("only the first message of an order key may run, whatever else is ready") {
+    QueueFixture fixture;
+    fixture.addStored(item("a1", 1, "a"));
+    fixture.addStored(item("a2", 2, "a"));
+    fixture.addStored(item("b1", 3, "b"));
+    CHECK(fixture.grantHead().id == "a1");
+    CHECK(fixture.grantHead().id == "b1");
+    CHECK(fixture.head().empty());
+    fixture.end("a1");
+    CHECK(fixture.head() == "a2");
 }
 
-TEST_CASE("a message that is not on enough disks holds its line up") {
-    Queue play;
-    QueueItem& first = play.queue.add(item("a1", 1, "a"));
-    play.stored(item("a2", 2, "a"));
-    CHECK(play.head().empty());
-    play.queue.stored(first);
-    CHECK(play.head() == "a1");
-    CHECK(play.ready.size() == 1);
+TEST_CASE("a message that is not on enough disks blocks the later ones of its order key") {
+    QueueFixture fixture;
+    QueueItem& first = fixture.queue.add(item("a1", 1, "a"));
+    fixture.addStored(item("a2", 2, "a"));
+    CHECK(fixture.head().empty());
+    fixture.queue.markStored(first);
+    CHECK(fixture.head() == "a1");
+    CHECK(fixture.ready.size() == 1);
 }
 
-TEST_CASE("a retried message keeps its place at the head of its line") {
-    Queue play;
-    play.stored(item("a1", 1, "a"));
-    play.stored(item("a2", 2, "a"));
-    QueueItem& first = play.grantHead();
-    play.queue.retry(first, kNow + Millis(100));
-    CHECK(play.head().empty());
-    CHECK(play.head(kNow + Millis(100)) == "a1");
+TEST_CASE("a retried message keeps its place at the head of its order queue") {
+    QueueFixture fixture;
+    fixture.addStored(item("a1", 1, "a"));
+    fixture.addStored(item("a2", 2, "a"));
+    QueueItem& first = fixture.grantHead();
+    fixture.queue.retry(first, kNow + Millis(100));
+    CHECK(fixture.head().empty());
+    CHECK(fixture.head(kNow + Millis(100)) == "a1");
 }
 
-TEST_CASE("an earlier message that is found later goes first") {
-    Queue play;
-    play.stored(item("late", 1, "a", 2));
-    CHECK(play.head() == "late");
+TEST_CASE("an earlier message that is recovered later runs first") {
+    QueueFixture fixture;
+    fixture.addStored(item("late", 1, "a", 2));
+    CHECK(fixture.head() == "late");
     QueueItem found = item("early", 9, "a", 1);
     found.recovered = true;
-    play.queue.add(found);
-    CHECK(play.head().empty());
-    play.queue.settle();
-    CHECK(play.head() == "early");
-    play.end("early");
-    CHECK(play.head() == "late");
+    fixture.queue.add(found);
+    CHECK(fixture.head().empty());
+    fixture.queue.releaseRecovered();
+    CHECK(fixture.head() == "early");
+    fixture.end("early");
+    CHECK(fixture.head() == "late");
 }
 
-TEST_CASE("recovered messages are held until the edges have told, and hold up their line") {
-    Queue play;
+TEST_CASE("recovered messages are held until they are released, and block their order key") {
+    QueueFixture fixture;
     QueueItem recovered = item("old", 1, "a");
     recovered.recovered = true;
-    play.queue.add(recovered);
-    play.stored(item("new", 1, "a", 2));
-    play.stored(item("other", 2, "b", 2));
-    CHECK(play.head() == "other");
-    CHECK(play.ready.size() == 1);
-    play.queue.settle();
-    CHECK(play.head() == "old");
+    fixture.queue.add(recovered);
+    fixture.addStored(item("new", 1, "a", 2));
+    fixture.addStored(item("other", 2, "b", 2));
+    CHECK(fixture.head() == "other");
+    CHECK(fixture.ready.size() == 1);
+    fixture.queue.releaseRecovered();
+    CHECK(fixture.head() == "old");
 }
 
 TEST_CASE("a message waits until it is due") {
-    Queue play;
+    QueueFixture fixture;
     QueueItem delayed = item("a", 1);
     delayed.due = kNow + Millis(500);
-    play.stored(delayed);
-    CHECK(play.head().empty());
-    CHECK(play.queue.nextDue() == kNow + Millis(500));
-    CHECK(play.head(kNow + Millis(500)) == "a");
-    CHECK(!play.queue.nextDue().has_value());
+    fixture.addStored(delayed);
+    CHECK(fixture.head().empty());
+    CHECK(fixture.queue.nextDue() == kNow + Millis(500));
+    CHECK(fixture.head(kNow + Millis(500)) == "a");
+    CHECK(!fixture.queue.nextDue().has_value());
 }
 
-TEST_CASE("an end leaves the call-back, which needs no turn in the line") {
-    Queue play;
+TEST_CASE("an ended message leaves its call-back, which does not block the order key") {
+    QueueFixture fixture;
     QueueItem owed = item("a1", 1, "a");
     owed.callback_owed = true;
-    play.stored(owed);
-    play.stored(item("a2", 2, "a"));
-    play.grantHead();
-    play.queue.end(*play.queue.find("a1"), [](QueueItem& ended) {
+    fixture.addStored(owed);
+    fixture.addStored(item("a2", 2, "a"));
+    fixture.grantHead();
+    fixture.queue.end(*fixture.queue.find("a1"), [](QueueItem& ended) {
         ended.callback = true;
         ended.service = "receiver";
     });
-    CHECK(play.head() == "a2");
-    REQUIRE(play.ready.head("receiver", kNow) != nullptr);
-    CHECK(play.ready.head("receiver", kNow)->id == "a1");
-    play.queue.remove(*play.queue.find("a1"));
-    CHECK(play.ready.head("receiver", kNow) == nullptr);
-    CHECK(play.queue.size() == 1);
+    CHECK(fixture.head() == "a2");
+    REQUIRE(fixture.ready.head("receiver", kNow) != nullptr);
+    CHECK(fixture.ready.head("receiver", kNow)->id == "a1");
+    fixture.queue.remove(*fixture.queue.find("a1"));
+    CHECK(fixture.ready.head("receiver", kNow) == nullptr);
+    CHECK(fixture.queue.size() == 1);
 }
 
-TEST_CASE("deadlines are found in their order") {
-    Queue play;
+TEST_CASE("expired finds the messages whose deadline has passed") {
+    QueueFixture fixture;
     QueueItem early = item("a", 1);
     early.deadline = kNow + Millis(10);
-    play.stored(early);
-    play.stored(item("b", 2));
-    CHECK(play.queue.expired(kNow).empty());
-    REQUIRE(play.queue.expired(kNow + Millis(10)).size() == 1);
-    CHECK(play.queue.expired(kNow + Millis(10))[0]->id == "a");
+    fixture.addStored(early);
+    fixture.addStored(item("b", 2));
+    CHECK(fixture.queue.expired(kNow).empty());
+    REQUIRE(fixture.queue.expired(kNow + Millis(10)).size() == 1);
+    CHECK(fixture.queue.expired(kNow + Millis(10))[0]->id == "a");
 }
 
-TEST_CASE("those in time first, by priority and age; then the late ones, then those that are far too late") {
-    Queue play;
+TEST_CASE("messages in time run first, by priority and age; then late ones, then those that are too late") {
+    QueueFixture fixture;
     QueueItem routine = item("routine", 1);
     routine.priority = 5;
-    routine.wanted = kNow - Millis(1000);
-    play.stored(routine);
+    routine.first_due = kNow - Millis(1000);
+    fixture.addStored(routine);
     QueueItem urgent = item("urgent", 2);
-    play.stored(urgent);
-    QueueItem hopeless = item("hopeless", 3);
-    hopeless.wanted = kNow - kTooLateAfter - Millis(1);
-    hopeless.aim_until = hopeless.wanted + Millis(1000);
-    hopeless.priority = -1;
-    play.stored(hopeless);
+    fixture.addStored(urgent);
+    QueueItem too_late = item("too_late", 3);
+    too_late.first_due = kNow - kTooLateAfter - Millis(1);
+    too_late.start_target = too_late.first_due + Millis(1000);
+    too_late.priority = -1;
+    fixture.addStored(too_late);
     QueueItem late = item("late", 4);
-    late.wanted = kNow - Millis(2000);
-    late.aim_until = late.wanted + Millis(1000);
-    play.stored(late);
-    CHECK(play.grantHead().id == "urgent");
-    CHECK(play.grantHead().id == "routine");
-    CHECK(play.grantHead().id == "late");
-    CHECK(play.grantHead().id == "hopeless");
+    late.first_due = kNow - Millis(2000);
+    late.start_target = late.first_due + Millis(1000);
+    fixture.addStored(late);
+    CHECK(fixture.grantHead().id == "urgent");
+    CHECK(fixture.grantHead().id == "routine");
+    CHECK(fixture.grantHead().id == "late");
+    CHECK(fixture.grantHead().id == "too_late");
 }
 
-TEST_CASE("a message that becomes late while it waits moves behind") {
-    Queue play;
+TEST_CASE("a message that becomes late while it waits moves behind those in time") {
+    QueueFixture fixture;
     QueueItem old = item("old", 1);
-    old.wanted = kNow - Millis(500);
-    old.aim_until = kNow + Millis(1500);
-    play.stored(old);
+    old.first_due = kNow - Millis(500);
+    old.start_target = kNow + Millis(1500);
+    fixture.addStored(old);
     QueueItem fresh = item("fresh", 2);
-    fresh.aim_until = kNow + Millis(5000);
-    play.stored(fresh);
-    CHECK(play.head() == "old");
-    CHECK(play.ready.hasInTime("service", kNow));
-    CHECK(play.head(kNow + Millis(2000)) == "fresh");
-    play.queue.remove(*play.queue.find("old"));
-    play.queue.remove(*play.queue.find("fresh"));
-    CHECK(play.ready.head("service", kNow) == nullptr);
+    fresh.start_target = kNow + Millis(5000);
+    fixture.addStored(fresh);
+    CHECK(fixture.head() == "old");
+    CHECK(fixture.ready.hasInTime("service", kNow));
+    CHECK(fixture.head(kNow + Millis(2000)) == "fresh");
+    fixture.queue.remove(*fixture.queue.find("old"));
+    fixture.queue.remove(*fixture.queue.find("fresh"));
+    CHECK(fixture.ready.head("service", kNow) == nullptr);
 }
 
-TEST_CASE("a queue that is given up leaves nothing behind in the services' queues") {
+TEST_CASE("a destroyed partition queue removes its messages from the ready queues") {
     ReadyQueues ready;
     {
         PartitionQueue queue(ready);
         QueueItem& added = queue.add(item("a", 1));
-        queue.stored(added);
+        queue.markStored(added);
         queue.collectReady(kNow);
         CHECK(ready.size() == 1);
     }
     CHECK(ready.size() == 0);
 }
 
-TEST_CASE("an older message that a newer owner did not know is a stray, one that it knew is not") {
-    Queue play;
+TEST_CASE("isUnknownToNewerEpoch is true only for older messages that the newer owner did not know") {
+    QueueFixture fixture;
     QueueItem newer = item("newer", 1, "a", 2);
-    newer.after = {1, 5};
-    play.stored(newer);
-    CHECK(!play.queue.isStray(item("known", 5, "a", 1)));
-    CHECK(play.queue.isStray(item("stray", 6, "a", 1)));
-    CHECK(!play.queue.isStray(item("other line", 6, "b", 1)));
-    CHECK(!play.queue.isStray(item("same owner", 7, "a", 2)));
-    play.stored(item("newest", 2, "a", 2));
-    CHECK(play.queue.isStray(item("stray", 6, "a", 1)));
-    CHECK(play.queue.lastOlder(newer) == LinePosition{});
-    CHECK(play.queue.lastOlder(item("next epoch", 1, "a", 3)) == LinePosition{2, 2});
-    CHECK(play.queue.lastOlder(item("first", 1, "empty")) == LinePosition{});
+    newer.predecessor = {1, 5};
+    fixture.addStored(newer);
+    CHECK(!fixture.queue.isUnknownToNewerEpoch(item("known", 5, "a", 1)));
+    CHECK(fixture.queue.isUnknownToNewerEpoch(item("unknown", 6, "a", 1)));
+    CHECK(!fixture.queue.isUnknownToNewerEpoch(item("other key", 6, "b", 1)));
+    CHECK(!fixture.queue.isUnknownToNewerEpoch(item("same owner", 7, "a", 2)));
+    fixture.addStored(item("newest", 2, "a", 2));
+    CHECK(fixture.queue.isUnknownToNewerEpoch(item("unknown", 6, "a", 1)));
+    CHECK(fixture.queue.lastOfOlderEpochs(newer) == OrderPosition{});
+    CHECK(fixture.queue.lastOfOlderEpochs(item("next epoch", 1, "a", 3)) == OrderPosition{2, 2});
+    CHECK(fixture.queue.lastOfOlderEpochs(item("first", 1, "empty")) == OrderPosition{});
 }
--- a/tests/cluster/store_requests_test.cpp
+++ b/tests/cluster/store_requests_test.cpp
@@ -1,4 +1,4 @@
-// What single requests to a store are answered: accepts, reports, questions.
+// Tests the answers of a store to single requests: accepts, reports and queries.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
     return play.ledger.messages.begin()->second;
 }
 
-// Speaks to stores without any of the habits of an edge.
+// Sends single requests to stores, without the heartbeats, retries and runs of a FakeEdge.
 class Client {
 public:
     explicit Client(StoreWorld& play)
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("the same message twice is stored once and granted once") {
+TEST_CASE("a message that is accepted twice is stored once and granted once") {
     StoreWorld play(20, options());
     Client client(play);
     const NodeAddress owner = play.ownerOf(0).address;
@@ -79,7 +79,7 @@
     CHECK(!second->granted);
 }
 
-TEST_CASE("only the owner accepts, takes reports and answers questions") {
+TEST_CASE("only the owner accepts messages, takes reports and answers queries") {
     StoreWorld play(21, options());
     Client client(play);
     const auto content = play.content("plain");
@@ -98,11 +98,11 @@
     }
 }
 
-TEST_CASE("bytes of a dead letter that no store hands out now are not told as gone") {
+TEST_CASE("a dead letter whose body no store can return now is not reported as missing") {
     StoreWorld play(22, options());
     Client client(play);
     const NodeAddress owner = play.ownerOf(0).address;
-    // An end whose content the owner was never given.
+    // The state of an ended message whose content the owner never received.
     RecordUpdate end;
     end.id = "dead";
     end.phase = Phase::dead_letter;
@@ -127,15 +127,15 @@
     CHECK(state->phase == Phase::dead_letter);
     const auto body = client.ask<StateReply>(owner, MessageKind::body_query, query);
     REQUIRE(body.has_value());
-    CHECK(body->status == QueryStatus::not_owner);  // the dispatcher asks again, then says 503
+    CHECK(body->status == QueryStatus::not_owner);  // the edge asks again, then answers 503
     const auto none = client.ask<StateReply>(owner, MessageKind::body_query, StateQuery{0, "never was"});
     REQUIRE(none.has_value());
     CHECK(none->status == QueryStatus::not_found);
 }
 
-TEST_CASE("a failure that is reported twice counts once, a success stands against later reports") {
+TEST_CASE("a failure reported twice counts once, and a success is not changed by later reports") {
     StoreWorld play(22, options());
-    for (auto& edge : play.edges) edge->leaving = true;  // only the client runs anything
+    for (auto& edge : play.edges) edge->leaving = true;  // only the client gets a grant
     play.world.run(Millis(1100));
     Client client(play);
     const NodeAddress owner = play.ownerOf(0).address;
@@ -154,7 +154,7 @@
     CHECK(report(RunOutcome::completed, "other").stamp == "stamp");
 }
 
-TEST_CASE("the first end stands: a success that comes after the last failure changes nothing") {
+TEST_CASE("the first end is final: a success reported after a rejection changes nothing") {
     StoreWorld play(23, options());
     for (auto& edge : play.edges) edge->leaving = true;
     play.world.run(Millis(1100));
@@ -171,7 +171,7 @@
     CHECK(state->phase == Phase::dead_letter);
 }
 
-TEST_CASE("a replica that is gone costs one time-out: the next one takes the copy") {
+TEST_CASE("an unreachable replica costs one time-out, and the next store gets the copy") {
     StoreWorld play(24, options());
     play.network.isolate(play.machines[2]->address.ip);
     Client client(play);
@@ -184,7 +184,7 @@
     }
 }
 
-TEST_CASE("without any copy the answer is unknown, and the message runs once a copy could be made") {
+TEST_CASE("an accept without any copy is answered as unknown, and the message runs once a copy is made") {
     StoreWorld play(25, options());
     StoreMachine& owner = play.ownerOf(0);
     for (auto& machine : play.machines) {
@@ -205,11 +205,11 @@
     CHECK(play.ledger.messages[content.id].runs == 1);
 }
 
-TEST_CASE("an answer to an accept that was lost is noticed, and the message is granted again") {
+TEST_CASE("a grant lost with the answer to its accept is noticed, and the message is granted again") {
     StoreWorld play(26, options());
     StoreMachine& owner = play.ownerOf(0);
     const std::string edge_ip = "10.2.0.1";
-    play.network.cut(owner.address.ip, edge_ip);  // answers of the owner get lost, requests arrive
+    play.network.cut(owner.address.ip, edge_ip);  // answers of the owner are lost, requests arrive
     MessageContent content = play.content("plain");
     while (play.ledger.messages.empty() || only(play).partition != 0) {
         play.ledger.messages.clear();
--- a/tests/cluster/store_retirement_test.cpp
+++ b/tests/cluster/store_retirement_test.cpp
@@ -1,5 +1,6 @@
-// A retirement is never told as completed before everything that counts stands, synced, on `tolerated` + 1 of
-// the other stores, whoever stops, starts or loses its disk meanwhile.
+// Guards against a retirement that is reported as completed too early: by then all messages and states that
+// must be kept are synced on `tolerated` + 1 of the other stores, even if stores stop, start or lose their
+// disks meanwhile.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,7 +18,7 @@
     return prefix + std::to_string(partition) + "/" + id;
 }
 
-// What the synced part of a disk says of a message.
+// What the synced part of a disk holds of a message.
 struct DiskState {
     bool content = false;
     bool ended = false;
@@ -44,7 +45,7 @@
                        [&name](const RetiredStore& store) { return store.name == name; });
 }
 
-// What the disks of all stores but the retired ones hold of a message.
+// On how many disks, without those of retired stores, parts of a message are synced.
 struct Copies {
     std::size_t any = 0;      // its content, or its end
     std::size_t ended = 0;    // its end
@@ -64,12 +65,11 @@
     return copies;
 }
 
-// After its report an end is synced within this time by those that know it.
+// The stores that know of an end have synced it within this time after its report.
 constexpr Millis kEndsSynced{2000};
 
-// At the moment at which a retirement can first be read as completed, all that counts is synced on f + 1 of
-// the other disks: what has not ended, the ends that the retired store knew, and the contents of dead
-// letters.
+// When a view first shows a retirement as completed, f + 1 of the other disks must hold, synced: the messages
+// that have not ended, the ends that the retired store knew, and the contents of dead letters.
 void checkDisks(const LeaderPlay& play, const StoreView& view, const std::string& retired) {
     const SteadyTime now = play.stores.world.now();
     const std::size_t wanted = std::size_t{play.stores.options.tolerated} + 1;
@@ -87,8 +87,8 @@
     }
 }
 
-// Retires machines and takes each away with its disk the moment it is told as completed; f others lose their
-// disks, or everything its power, at the same moment.
+// Retires machines, and wipes each one when its retirement is reported as completed. At the same moment up to
+// `victims` other machines lose their disks; they start again with empty ones.
 class Retirement {
 public:
     explicit Retirement(LeaderPlay& play) : play_(play) {
@@ -101,7 +101,7 @@
         return verdict;
     }
     bool completed() const { return completed_ == ordered_; }
-    // Of the stores that lose their disks when a retirement is completed.
+    // Number of other stores that lose their disks when a retirement is completed.
     std::size_t victims = 0;
 
 private:
@@ -144,7 +144,7 @@
 
 }  // namespace
 
-TEST_CASE("a new process of an owner has not peered what the view gives to the one before") {
+TEST_CASE("a restarted owner is not peered in a view that names its previous process") {
     StoreWorld play(1, optionsOfPlay(3, 1));
     REQUIRE(play.awaitPeered(Millis(3000)));
     StoreMachine& owner = play.ownerOf(0);
@@ -157,7 +157,7 @@
     CHECK(play.awaitPeered(Millis(3000)));
 }
 
-TEST_CASE("a retired store goes with its disk while others lose theirs") {
+TEST_CASE("a retired store is wiped while others lose their disks") {
     for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
         const std::uint32_t tolerated = seed % 4 == 0 ? 2 : 1;
         LeaderPlay play(seed, tolerated == 2 ? 6 : 4, tolerated);
@@ -205,7 +205,7 @@
                         [&] { CHECK(retirement.order(retiring) == RetireVerdict::ordered); });
         for (std::size_t next = 0; next < 4; ++next) {
             StoreMachine& machine = *play.stores.machines[next];
-            if (!machine.process) continue;  // taken away, or its disk was lost
+            if (!machine.process) continue;  // retired, or its disk was wiped
             machine.leaving = true;
             bool left = false;
             machine.process->node->leave([&left] { left = true; });
--- a/tests/cluster/store_world_edge.hpp
+++ b/tests/cluster/store_world_edge.hpp
@@ -1,4 +1,4 @@
-// The pretended edge of store_world.hpp, with its pretended servers.
+// Implements FakeEdge, the simulated edge of store_world.hpp, and the simulated servers that it delivers to.
 #pragma once
 
 #include "tests/cluster/store_world.hpp"
@@ -49,10 +49,10 @@
 inline void FakeEdge::sync() {
     process_->sync_timer = process_->scheduler->after(Millis(1000), [this] { sync(); });
     if (!view_) return;
-    const bool rests = play_.options.far_edges && heartbeats_++ % kHeartbeatsWhileIdle != 0;
+    const bool is_idle = play_.options.far_edges && heartbeats_++ % kHeartbeatsWhileIdle != 0;
     for (const StoreMember& store : view_->stores) {
-        const bool spared = rests && !leaving && !runsFor(store.member.address);
-        if (store.alive && !spared) syncTo(store.member.address);
+        const bool skips_sync = is_idle && !leaving && !runsFor(store.member.address);
+        if (store.alive && !skips_sync) syncTo(store.member.address);
     }
 }
 
