--- a/src/cluster/storage/edge_registry.cpp
+++ b/src/cluster/storage/edge_registry.cpp
@@ -14,7 +14,8 @@
 // candidates plus kExtraGrants.
 constexpr double kMaxLoadOverMean = 1.25;
 constexpr double kExtraGrants = 2;
-constexpr Millis kNearEdgeCacheTime{100};  // queried for each accept of an edge in another region
+// hasNearEdge() is called for each accept of an edge in another region, so its result is cached.
+constexpr Millis kNearEdgeCacheTime{100};
 // Number of edges at the head of a destination's order among which one without a grant for it is preferred.
 constexpr std::size_t kPreferredEdges = 3;
 
--- a/src/cluster/storage/edge_watch.cpp
+++ b/src/cluster/storage/edge_watch.cpp
@@ -52,7 +52,7 @@
     edge.running = sync.running;
     for (const RunningAttempt& running : sync.running) granter_.adoptRunning(sync.edge, running, false);
     reclaimMissing(edge, sync, restarted);
-    releaseRecovered();
+    releaseRecoveredPartitions();
     granter_.schedule();
 }
 
@@ -120,10 +120,10 @@
             if (attempt.partition == owned.id) granter_.adoptRunning(edge.name, attempt, false);
         }
     });
-    releaseRecovered();
+    releaseRecoveredPartitions();
 }
 
-void EdgeWatch::releaseRecovered() {
+void EdgeWatch::releaseRecoveredPartitions() {
     const SteadyTime now = clock_.now();
     for (auto& [partition, owned] : owned_) {
         if (!owned->active || owned->recovered_released) continue;
@@ -140,7 +140,7 @@
 
 void EdgeWatch::tick() {
     grants_.edges.forEach([this](Edge& edge) { checkEdge(edge); });
-    releaseRecovered();
+    releaseRecoveredPartitions();
     grants_.edges.forgetSilent(clock_.now());
 }
 
--- a/src/cluster/storage/edge_watch.hpp
+++ b/src/cluster/storage/edge_watch.hpp
@@ -43,7 +43,7 @@
     void onProbeAnswer(const std::string& name, const CallResult& result);
     // Releases the recovered messages of each partition whose running attempts are known or whose wait is
     // over.
-    void releaseRecovered();
+    void releaseRecoveredPartitions();
 
     Transport& transport_;
     OwnedPartitions& owned_;
--- a/tests/cluster/store_retirement_test.cpp
+++ b/tests/cluster/store_retirement_test.cpp
@@ -72,18 +72,18 @@
 // that have not ended, the ends that the retired store knew, and the contents of dead letters.
 void checkDisks(const LeaderPlay& play, const StoreView& view, const std::string& retired) {
     const SteadyTime now = play.stores.world.now();
-    const std::size_t wanted = std::size_t{play.stores.options.tolerated} + 1;
+    const std::size_t required = std::size_t{play.stores.options.tolerated} + 1;
     const auto machine = std::find_if(play.stores.machines.begin(), play.stores.machines.end(),
                                       [&retired](const auto& each) { return each->name == retired; });
     for (const auto& [id, message] : play.stores.ledger.messages) {
         if (!message.accepted) continue;
         const Copies copies = copiesElsewhere(play, view, message.partition, id);
-        const DiskState gone = synced(**machine, message.partition, id);
+        const DiskState retired_disk = synced(**machine, message.partition, id);
         INFO("seed " << play.seed << " view " << view.epoch << " " << id);
-        CHECK(copies.any >= wanted);
+        CHECK(copies.any >= required);
         const bool long_ago = message.ended && *message.ended + kEndsSynced < now;
-        if (gone.ended && long_ago) CHECK(copies.ended >= wanted);
-        if (gone.dead_letter) CHECK(copies.content >= wanted);
+        if (retired_disk.ended && long_ago) CHECK(copies.ended >= required);
+        if (retired_disk.dead_letter) CHECK(copies.content >= required);
     }
 }
 
@@ -109,10 +109,10 @@
         for (const std::string& name : ordered_) {
             if (!isRetired(view, name) || !completed_.insert(name).second) continue;
             checkDisks(play_, view, name);
-            takeAway(name);
+            wipeRetired(name);
         }
     }
-    void takeAway(const std::string& name) {
+    void wipeRetired(const std::string& name) {
         std::size_t lost = 0;
         for (auto& machine : play_.stores.machines) {
             if (machine->name == name) {
@@ -216,8 +216,8 @@
             if (next == 1) play.leader.depose();
             if (next == 1) play.trafficFor(play.drawSpan(Millis(1500)));
             if (next == 1) play.leader.elect();
-            const bool away = play.leader.retirePhase(machine.name) == RetirePhase::completed;
-            if (!away && !machine.process) play.stores.start(machine);
+            const bool is_retired = play.leader.retirePhase(machine.name) == RetirePhase::completed;
+            if (!is_retired && !machine.process) play.stores.start(machine);
             play.trafficFor(Millis(1500));
         }
         awaitCompleted(play, retirement, Millis(15'000));
@@ -234,20 +234,20 @@
         StoreMachine& retiring = play.anyMachine();
         REQUIRE(retirement.order(retiring) == RetireVerdict::ordered);
         play.trafficFor(play.drawSpan(Millis(500)));
-        const std::uint64_t trouble = seed % 4;
-        if (retiring.process && trouble == 0) {
+        const std::uint64_t fault = seed % 4;
+        if (retiring.process && fault == 0) {
             retiring.leaving = true;
             retiring.process->node->leave([] {});
             play.trafficFor(Millis(500));
             play.stores.stop(retiring);
         }
-        if (trouble == 1) play.stores.stop(retiring);
-        if (trouble == 2) play.stores.wipe(retiring);
-        if (trouble == 3) play.cutOff(retiring);
+        if (fault == 1) play.stores.stop(retiring);
+        if (fault == 2) play.stores.wipe(retiring);
+        if (fault == 3) play.cutOff(retiring);
         play.trafficFor(play.drawSpan(Millis(4000)));
         play.join(retiring);
-        const bool away = play.leader.retirePhase(retiring.name) == RetirePhase::completed;
-        if (!away && !retiring.process) play.stores.start(retiring);
+        const bool is_retired = play.leader.retirePhase(retiring.name) == RetirePhase::completed;
+        if (!is_retired && !retiring.process) play.stores.start(retiring);
         awaitCompleted(play, retirement, Millis(15'000));
         play.trafficFor(Millis(2000));
         play.checkEnd();
