--- a/src/cluster/control/chosen_values.hpp
+++ b/src/cluster/control/chosen_values.hpp
@@ -1,14 +1,15 @@
-// What this core machine knows to be chosen in the register, and since when that is surely the newest.
+// Tracks the values of the register that this core machine knows to be chosen, and when they were last
+// confirmed to be the newest (a read index).
 //
-// A round asks the other core machines, every 150 ms and on demand, for newer chosen values and for the
-// highest ballots that they have accepted (a read index). Once a majority of the newest voters known, all of
-// which know no newer ones, has accepted nothing above the ballots known here to be chosen, all that was
-// chosen before the round began is known here: whatever was chosen was accepted by a majority, which shares a
-// voter with this one.
+// A confirmation round asks the other core machines, every 150 ms and on demand, for newer chosen values and
+// for the highest ballots that they have accepted. A round is confirmed once a majority of the newest known
+// voter set, none of which knows a newer set, has accepted nothing above the ballots known here to be chosen.
+// Everything chosen before the start of that round is then known here: a chosen value was accepted by a
+// majority, and the two majorities share a voter.
 //
-// An accepted ballot that stays above the chosen one is settled by a quorum round that keeps the value: its
-// proposer may have had a majority and may be cut off since, or gone. As long as ballots still rise, a
-// proposer is at work and is left alone.
+// An accepted ballot that stays above the chosen one is resolved by a quorum round that keeps the value: its
+// proposer may have reached a majority and then have stopped or been cut off. While ballots still rise, a
+// proposer is active and no such round is started.
 #pragma once
 
 #include <cstdint>
@@ -36,67 +37,68 @@
 public:
     using PeersFunction = std::function<std::vector<NodeAddress>()>;
 
-    // `peers`: internal addresses of the other core machines known now.
+    // `peers` returns the internal addresses of the other core machines known at that time.
     ChosenValues(Scheduler& scheduler, Transport& transport, RegisterVoter& voter, RegisterProposer& proposer,
                  PeersFunction peers);
 
-    // Begins to ask.
+    // Starts the periodic confirmation rounds.
     void start();
-    // Runs at each newer value, once the key is proved.
+    // Called for each newer value, once the key is verified.
     void onChange(std::function<void(const std::string& key)> listener) { on_change_ = std::move(listener); }
-    // Runs at each confirmation.
+    // Called for each confirmed round.
     void onConfirmed(std::function<void()> listener) { on_confirmed_ = std::move(listener); }
 
-    // The newest chosen value, or null while none is known or the key is not proved yet.
+    // The newest known chosen value, or nullptr if none is known or the key has not been verified yet.
     const ChosenValue* find(const std::string& key) const;
-    bool isProved() const;
+    // True once every key has been confirmed, or chosen by this machine, at least once since the start.
+    bool isVerified() const;
 
-    // A round that began at `since` or later has confirmed that find() gives the newest.
+    // True if a round that started at `since` or later has confirmed that find() returns the newest values.
     bool isConfirmedSince(SteadyTime since) const;
-    // The last confirmation began less than 0.6 s ago.
+    // True if all keys are verified and the last confirmed round started less than 0.6 s ago.
     bool isFresh() const;
-    // Begins a round now, or very soon after the last one.
-    void confirm();
+    // Starts a round now, or as soon as the minimum interval since the last one has passed.
+    void requestConfirmation();
 
-    // Another core machine tells.
+    // Handles a notice from another core machine that a value was chosen.
     void learn(const ChosenNotice& notice);
-    // This machine's voter has accepted a proposal of that key.
-    void noteAccepted(const std::string& key);
-    // Answers the round of another core machine.
+    // Must be called when the voter of this machine has accepted a proposal of that key.
+    void onAccepted(const std::string& key);
+    // Answers a confirmation round of another core machine.
     ReadChosenReply answer(const ReadChosenRequest& request) const;
 
 private:
     struct KeyState {
         ChosenValue chosen;
-        bool proved = false;
-        Ballot told;      // the others were told that it is chosen
-        Ballot accepted;  // the highest that any voter reported
-        bool settling = false;
-        TimerHandle settle_timer;
+        bool verified = false;
+        Ballot announced;  // the newest ballot announced to the other machines as chosen
+        Ballot accepted;   // the highest accepted ballot reported by any voter
+        bool resolving = false;
+        TimerHandle resolve_timer;
     };
     struct Round;
     using RoundHandle = std::shared_ptr<Round>;
 
-    // A round of this machine's proposer has chosen: the others are told, once.
-    void chosenHere(const std::string& key, const ChangeOutcome& outcome);
-    void take(const std::string& key, const Ballot& ballot, const std::string& value);
-    void takeNotice(const ChosenNotice& notice);
+    // Handles a value chosen by the proposer of this machine: announces it to the others, once.
+    void onChosenLocally(const std::string& key, const ChangeOutcome& outcome);
+    void applyChosen(const std::string& key, const Ballot& ballot, const std::string& value);
+    void applyNotice(const ChosenNotice& notice);
 
-    void beginRound();
+    void startRound();
     ReadChosenRequest request() const;
     void onReply(const RoundHandle& round, const NodeAddress& peer, const ReadChosenReply& reply);
-    void noteReports(const ReadChosenReply& reply);
+    void recordReports(const ReadChosenReply& reply);
     void confirmRounds();
     bool isConfirmed(const Round& round) const;
-    void noteContact(const Round& round);
+    void recordContact(const Round& round);
     bool answeredByMajority(const Round& round) const;
-    bool hasContact() const;
+    bool hasMajorityContact() const;
 
-    bool isUnsettled(const std::string& key) const;
-    void settleLater(const std::string& key);
-    void settle(const std::string& key, const Ballot& seen);
+    bool isUnresolved(const std::string& key) const;
+    void scheduleResolve(const std::string& key);
+    void resolve(const std::string& key, const Ballot& seen);
     Ballot newestBallot(const std::string& key) const;
-    Millis settleDelay() const;
+    Millis resolveDelay() const;
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -106,10 +108,10 @@
     std::function<void(const std::string&)> on_change_;
     std::function<void()> on_confirmed_;
     std::map<std::string, KeyState> keys_;
-    std::vector<RoundHandle> open_rounds_;    // not confirmed yet, oldest first
-    SteadyTime last_round_{};                 // its begin
-    std::optional<SteadyTime> confirmed_at_;  // begin of the last confirmed round
-    std::optional<SteadyTime> contacted_at_;  // begin of the last round that a majority answered
+    std::vector<RoundHandle> open_rounds_;           // not confirmed yet, oldest first
+    SteadyTime last_round_start_{};                  // start of the last round
+    std::optional<SteadyTime> confirmed_at_;         // start of the last confirmed round
+    std::optional<SteadyTime> majority_contact_at_;  // start of the last round that a majority answered
     TimerHandle round_timer_;
     Lifetime lifetime_;
 };
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -26,7 +26,7 @@
 #include "cluster/control/store_view_keeper.hpp"
 #include "cluster/control/typed_call.hpp"
 #include "cluster/control/voter_recovery.hpp"
-#include "cluster/control/voter_set_keeper.hpp"
+#include "cluster/control/voter_set_manager.hpp"
 
 namespace amberswitch::cluster {
 namespace {
@@ -93,7 +93,7 @@
     Membership membership_;
     LeaderElection election_;
     StoreViewKeeper keeper_;
-    VoterSetKeeper voter_keeper_;
+    VoterSetManager voter_set_manager_;
     Distribution distribution_;
     std::optional<ServerPoller> poller_;
     ServerRelay relay_;
@@ -118,26 +118,27 @@
       recovery_(scheduler, transport, voter_, proposer_, settings.name, [this] { return peers(); }),
       chosen_(scheduler, transport, voter_, proposer_, [this] { return peers(); }),
       membership_(scheduler),
-      election_(scheduler, transport, {settings.name, incarnation, self()}, voter_.startedFirst(),
-                {.electors = [this] { return voter_.voters(); },
-                 .may_vote = [this] { return !voter_.startedFirst() || voter_.votes(); },
+      election_(scheduler, transport, {settings.name, incarnation, self()}, voter_.isFirstStart(),
+                {.voters = [this] { return voter_.voters(); },
+                 .may_vote = [this] { return !voter_.isFirstStart() || voter_.canVote(); },
                  .last_leader = [this] { return acceptedLeader(); },
-                 .electors_version = [this] { return voter_.voterSet().version; },
+                 .voters_version = [this] { return voter_.voterSet().version; },
                  .may_lead = [this] { return mayLead(); }}),
       keeper_(scheduler, transport, proposer_, chosen_, membership_, election_, settings.name,
               copiesTolerated(settings.tolerance)),
-      voter_keeper_(
+      voter_set_manager_(
           scheduler, transport, voter_, proposer_, membership_, settings.name, settings.tolerance.machines,
-          {.is_acting = [this] { return keeper_.isActing(); },
+          {.is_acting_leader = [this] { return keeper_.isActing(); },
            .peers = [this] { return peers(); },
-           .holds_lease_of = [this](std::uint64_t version) { return election_.leaseVersion() == version; },
+           .holds_lease_from =
+               [this](std::uint64_t version) { return election_.leaseVotersVersion() == version; },
            .renew_lease = [this] { election_.renew(); }},
           {settings.zone, settings.topology, {settings.tolerance.zones, settings.tolerance.regions}}),
       distribution_(
           scheduler,
           {.is_fresh = [this] { return chosen_.isFresh() && unreadable_.empty(); },
            .is_confirmed_since = [this](SteadyTime since) { return chosen_.isConfirmedSince(since); },
-           .confirm = [this] { chosen_.confirm(); }},
+           .confirm = [this] { chosen_.requestConfirmation(); }},
           settings.limits.link_mbps),
       relay_(scheduler, transport, settings.name,
              {.leader = [this] { return leaderAddress(); },
@@ -169,7 +170,7 @@
     membership_.onChange([this] { keeper_.check(); });
     recovery_.onRecovered([this] { renewAtPeers(); });
     election_.onElected([this] { keeper_.onElected(); });
-    election_.onElectorsChanged([this] { voter_keeper_.onLeaseOfNewVoters(); });
+    election_.onVoterSetChanged([this] { voter_set_manager_.onLeaseGrantedByNewVoters(); });
     keeper_.onClaimed([this](std::uint64_t term) {
         if (poller_) poller_->start(term);
     });
@@ -183,7 +184,7 @@
     chosen_.start();
     election_.start();
     relay_.start();
-    voter_keeper_.start();
+    voter_set_manager_.start();
     renewAtPeers();
 }
 
@@ -249,7 +250,7 @@
     member.leaving = leaving_;
     member.bootstrap = settings_.bootstrap;
     member.disk_empty = !voter_.hasData();
-    member.disk_failed = !voter_.diskWorks();
+    member.disk_failed = !voter_.isDiskHealthy();
     return member;
 }
 
@@ -268,7 +269,7 @@
 
 RenewLeaseReply ControlNode::Impl::onRenew(const RenewLeaseRequest& request) {
     membership_.renew(request);
-    if (request.member.kind == NodeKind::core) voter_keeper_.onRenewed(request.member.name);
+    if (request.member.kind == NodeKind::core) voter_set_manager_.onLeaseRenewed(request.member.name);
     RenewLeaseReply answer;
     answer.zone = settings_.zone;
     answer.leader = keeper_.isActing();
@@ -339,7 +340,7 @@
             if (const auto message = decode<AcceptRequest>(request.body)) {
                 voter_.accept(*message, [this, respond, key = message->key](const AcceptReply& answer) {
                     respond(reply(answer));
-                    if (answer.accepted) chosen_.noteAccepted(key);
+                    if (answer.accepted) chosen_.onAccepted(key);
                 });
             }
             return;
--- a/src/cluster/control/control_status.cpp
+++ b/src/cluster/control/control_status.cpp
@@ -46,10 +46,10 @@
 void writeRegister(JsonWriter& json, const StatusSources& sources) {
     json.Key("register");
     json.StartObject();
-    write(json, "votes", sources.voter.votes());
-    write(json, "diskWorks", sources.voter.diskWorks());
+    write(json, "votes", sources.voter.canVote());
+    write(json, "diskWorks", sources.voter.isDiskHealthy());
     write(json, "recovering", sources.voter.needsRecovery());
-    write(json, "proved", sources.chosen.isProved());
+    write(json, "proved", sources.chosen.isVerified());
     write(json, "majorityInContact", sources.chosen.isFresh());
     write(json, "votersVersion", sources.voter.voterSet().version);
     json.Key("voters");
@@ -156,8 +156,8 @@
     const StoreView* const view = sources.distribution.view();
     MetricsText text;
     text.add("leads", sources.keeper.isActing() ? 1 : 0);
-    text.add("votes", sources.voter.votes() ? 1 : 0);
-    text.add("disk_works", sources.voter.diskWorks() ? 1 : 0);
+    text.add("votes", sources.voter.canVote() ? 1 : 0);
+    text.add("disk_works", sources.voter.isDiskHealthy() ? 1 : 0);
     text.add("majority_in_contact", sources.chosen.isFresh() ? 1 : 0);
     text.add("voters_version", sources.voter.voterSet().version);
     text.add("configuration", static_cast<std::uint64_t>(sources.distribution.configurationGeneration()));
--- a/src/cluster/control/core_client.cpp
+++ b/src/cluster/control/core_client.cpp
@@ -202,7 +202,7 @@
 bool CoreClient::Impl::answeredLately(const NodeAddress& address) const {
     const auto found = machines_.find(address);
     if (found == machines_.end() || !found->second.last_answer) return false;
-    return scheduler_.now() - *found->second.last_answer <= kAnsweredLately;
+    return scheduler_.now() - *found->second.last_answer <= kRecentReplyWindow;
 }
 
 std::vector<NodeAddress> CoreClient::Impl::coreMachines() const {
@@ -227,7 +227,7 @@
 
 // A dispatcher's lease lasts for several renewals: core machines of other regions hear every second one.
 bool CoreClient::Impl::restsNow(const NodeAddress& address) const {
-    if (self_.kind != NodeKind::edge || self_.leaving || renewals_ % kFarRenewals == 0) return false;
+    if (self_.kind != NodeKind::edge || self_.leaving || renewals_ % kRemoteRenewIntervals == 0) return false;
     const auto found = machines_.find(address);
     const bool answers =
         found != machines_.end() && found->second.last_answer && found->second.missed_renewals == 0;
--- a/src/cluster/control/distribution.cpp
+++ b/src/cluster/control/distribution.cpp
@@ -75,7 +75,7 @@
         unconfirmed_ = true;
         return false;
     }
-    const Millis pause = link_.waitAt(scheduler_.now());
+    const Millis pause = link_.timeUntilAvailable(scheduler_.now());
     if (pause > Millis(0)) {
         waitForLink(pause);
         return false;
--- a/src/cluster/control/lifetime.hpp
+++ b/src/cluster/control/lifetime.hpp
@@ -1,5 +1,5 @@
-// Ties callbacks to the life of the object that made them: a guarded callback does nothing once its owner is
-// gone.
+// Binds callbacks to the lifetime of the object that creates them: a guarded callback does nothing once its
+// owner is destroyed.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 class Lifetime {
 public:
-    // A callable like `work` that is ignored after this Lifetime was destroyed.
+    // Returns a callable that forwards to `work`, or does nothing after this Lifetime was destroyed.
     template <class Work>
     auto guard(Work work) const {
         return [alive = std::weak_ptr<int>(token_), work = std::move(work)](auto&&... arguments) {
--- a/src/cluster/control/register_messages.hpp
+++ b/src/cluster/control/register_messages.hpp
@@ -1,34 +1,35 @@
-// Messages and disk records of the register that only core machines use.
+// Messages and on-disk records of the consensus register that are used between core machines only.
 #pragma once
 
 #include "cluster/common/messages.hpp"
 
 namespace amberswitch::cluster {
 
-// The keys of the register.
+// Keys of the register, with the type of the stored value.
 inline constexpr const char* kConfigKey = "config";  // ConfigurationState
 inline constexpr const char* kViewKey = "view";      // StoreView
-inline constexpr const char* kVotersKey = "voters";  // VoterSet; empty until the first change
+inline constexpr const char* kVotersKey = "voters";  // VoterSet; empty until the first voter change
 
-// Asks a core machine who votes.
+// Reads the voter set that a core machine knows.
 inline constexpr MessageKind kReadVoters = static_cast<MessageKind>(60);
 
 struct ReadVotersRequest {
-    std::string name;  // of the caller
+    std::string name;  // node name of the caller
     template <class Archive>
     void serialize(Archive& archive) {
         archive(name);
     }
 };
 struct ReadVotersReply {
-    VoterSet voters;  // the newest known here
+    VoterSet voters;  // the newest set known to the answering machine
     template <class Archive>
     void serialize(Archive& archive) {
         archive(voters);
     }
 };
 
-// Record on disk: this machine's data is whole, and these are the voters.
+// On-disk record of the current voters. Its presence also states that the register data on this disk is
+// complete.
 struct VoterSetRecord {
     VoterSet voters;
     template <class Archive>
@@ -36,7 +37,7 @@
         archive(voters);
     }
 };
-// Record on disk: the last accepted proposal of one key.
+// On-disk record of the last accepted proposal of one key.
 struct AcceptedRecord {
     Ballot ballot;
     std::string value;
--- a/src/cluster/control/register_proposer.cpp
+++ b/src/cluster/control/register_proposer.cpp
@@ -9,11 +9,13 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kRoundTimeout{400};     // of one prepare or accept round
-constexpr std::int64_t kBackoffMs = 10;  // before the first retry; doubles
-constexpr int kBackoffDoublings = 4;
-// A voter without data may have promised ballots that it forgot. Proposers rise by small steps above what
-// they have seen, so a ballot this far ahead of a majority's is above every one of those.
+constexpr Millis kRoundTimeout{400};  // for one prepare or accept round
+constexpr std::int64_t kInitialBackoffMs =
+    10;  // upper bound before the first retry; doubles with each attempt
+constexpr int kMaxBackoffDoublings = 4;
+// A voter that lost its data may have promised ballots that it no longer knows. Proposers only move slightly
+// above the ballots they have seen, so a ballot this many rounds above those of a majority exceeds all such
+// promises.
 constexpr std::uint64_t kRecoveryRoundStep = 1u << 20;
 
 enum class ChangePhase : std::uint8_t { waiting, prepare, accept, finished };
@@ -26,18 +28,18 @@
     ChangeOptions options;
     std::function<void(ChangeOutcome)> done;
     TimerHandle deadline;
-    TimerHandle timer;    // of the round, or of the pause before the next attempt
-    bool probed = false;  // recovery only: a majority has promised a ballot
-    // The current attempt:
+    TimerHandle timer;        // timeout of the round, or the delay before the next attempt
+    bool probe_done = false;  // recovery only: a majority has promised the first ballot
+    // State of the current attempt:
     std::uint64_t attempt = 0;
     ChangePhase phase = ChangePhase::waiting;
     VoterSet voters;
     Ballot ballot;
-    std::size_t asked = 0;
-    std::size_t answers = 0;
-    std::size_t votes = 0;
-    Ballot best;          // the highest accepted ballot among the promises
-    std::string current;  // its value
+    std::size_t request_count = 0;
+    std::size_t reply_count = 0;
+    std::size_t vote_count = 0;
+    Ballot highest_accepted;  // among the promises received
+    std::string current;      // the value accepted with that ballot
     Decision decision;
 
     std::size_t majority() const {
@@ -69,7 +71,7 @@
     change->decide = std::move(decide);
     change->options = options;
     change->done = std::move(done);
-    change->deadline = later(change, options.timeout, &RegisterProposer::giveUp);
+    change->deadline = scheduleStep(change, options.timeout, &RegisterProposer::finishUnknown);
     std::deque<ChangeHandle>& queue = queues_[key];
     queue.push_back(change);
     if (queue.size() == 1) scheduler_.post(lifetime_.guard([this, key] { startNext(key); }));
@@ -78,35 +80,35 @@
 void RegisterProposer::startNext(const std::string& key) {
     const std::deque<ChangeHandle>& queue = queues_[key];
     if (queue.empty() || queue.front()->attempt != 0) return;
-    const ChangeHandle first = queue.front();  // may leave the queue at once
+    const ChangeHandle first = queue.front();  // the attempt may finish and remove it from the queue
     startAttempt(first);
 }
 
-std::vector<NodeAddress> RegisterProposer::electorate(const Change& change) const {
-    std::vector<NodeAddress> chosen = change.voters.addresses;
-    if (change.options.recovery) std::erase(chosen, voter_.self());
-    return chosen;
+std::vector<NodeAddress> RegisterProposer::votersToAsk(const Change& change) const {
+    std::vector<NodeAddress> asked = change.voters.addresses;
+    if (change.options.recovery) std::erase(asked, voter_.self());
+    return asked;
 }
 
 void RegisterProposer::startAttempt(const ChangeHandle& change) {
     ++change->attempt;
     change->voters = voter_.voterSet();
-    const std::optional<std::uint64_t>& wanted = change->options.voters_version;
-    if (wanted && *wanted != change->voters.version) return giveUp(change);
-    if (electorate(*change).size() < change->majority()) return retryLater(change);
+    const std::optional<std::uint64_t>& required_version = change->options.voters_version;
+    if (required_version && *required_version != change->voters.version) return finishUnknown(change);
+    if (votersToAsk(*change).size() < change->majority()) return scheduleRetry(change);
     highest_round_ += change->options.recovery ? kRecoveryRoundStep : 1;
     change->ballot = Ballot{highest_round_, identity_};
-    change->best = {};
+    change->highest_accepted = {};
     change->current.clear();
     sendPrepare(change);
 }
 
 void RegisterProposer::sendPrepare(const ChangeHandle& change) {
-    const std::vector<NodeAddress> voters = electorate(*change);
+    const std::vector<NodeAddress> voters = votersToAsk(*change);
     change->phase = ChangePhase::prepare;
-    change->asked = voters.size();
-    change->answers = change->votes = 0;
-    change->timer = later(change, kRoundTimeout, &RegisterProposer::retryLater);
+    change->request_count = voters.size();
+    change->reply_count = change->vote_count = 0;
+    change->timer = scheduleStep(change, kRoundTimeout, &RegisterProposer::scheduleRetry);
     const PrepareRequest request{change->key, change->ballot, change->voters};
     for (const NodeAddress& voter : voters) {
         const auto answer = lifetime_.guard([this, change, attempt = change->attempt](auto reply) {
@@ -125,44 +127,47 @@
 
 void RegisterProposer::onPrepareReply(const ChangeHandle& change, std::uint64_t attempt,
                                       std::optional<PrepareReply> reply) {
-    if (reply) noteBallot(reply->highest);
+    if (reply) observeBallot(reply->highest);
     const bool outdated = reply && learnVoters(change, reply->newer_voters);
     if (change->attempt != attempt || change->phase != ChangePhase::prepare) return;
-    if (outdated) return retryLater(change);
-    ++change->answers;
+    if (outdated) return scheduleRetry(change);
+    ++change->reply_count;
     if (reply && reply->voter && reply->promised) {
-        ++change->votes;
+        ++change->vote_count;
         const bool keeps_first = isPlanted(PlantedFault::adopts_first_value) && !change->current.empty();
-        if (reply->accepted > change->best && !keeps_first) {
-            change->best = reply->accepted;
+        if (reply->accepted > change->highest_accepted && !keeps_first) {
+            change->highest_accepted = reply->accepted;
             change->current = std::move(reply->value);
         }
     }
-    if (change->votes >= change->majority()) return onPromised(change);
-    if (change->votes + change->asked - change->answers < change->majority()) retryLater(change);
+    if (change->vote_count >= change->majority()) return onPrepareMajority(change);
+    if (change->vote_count + change->request_count - change->reply_count < change->majority())
+        scheduleRetry(change);
 }
 
-// Whether the voters of this attempt are out of date.
+// Stores newer voters if the reply has any. Returns true if the voters of this attempt are out of date.
 bool RegisterProposer::learnVoters(const ChangeHandle& change, const std::optional<VoterSet>& newer) {
     if (newer) voter_.learnVoters(*newer);
     return change->voters.version < voter_.voterSet().version;
 }
 
-// A recovery prepares twice: only the second ballot is surely a whole step above the promises of a majority.
-void RegisterProposer::onPromised(const ChangeHandle& change) {
-    if (!change->options.recovery || std::exchange(change->probed, true)) return sendAccept(change);
+// A recovery prepares twice: only the second ballot is guaranteed to be a whole kRecoveryRoundStep above the
+// promises of a majority.
+void RegisterProposer::onPrepareMajority(const ChangeHandle& change) {
+    if (!change->options.recovery || std::exchange(change->probe_done, true)) return sendAccept(change);
     startAttempt(change);
 }
 
 void RegisterProposer::sendAccept(const ChangeHandle& change) {
-    const std::vector<NodeAddress> voters = electorate(*change);
+    const std::vector<NodeAddress> voters = votersToAsk(*change);
     change->decision = change->decide(change->current);
     if (isPlanted(PlantedFault::reads_without_writing_back) && !change->decision.write)
-        return finish(change, {true, false, change->best, change->current, change->voters.version});
+        return finish(change,
+                      {true, false, change->highest_accepted, change->current, change->voters.version});
     change->phase = ChangePhase::accept;
-    change->asked = voters.size();
-    change->answers = change->votes = 0;
-    change->timer = later(change, kRoundTimeout, &RegisterProposer::retryLater);
+    change->request_count = voters.size();
+    change->reply_count = change->vote_count = 0;
+    change->timer = scheduleStep(change, kRoundTimeout, &RegisterProposer::scheduleRetry);
     const std::string& value = change->decision.write ? change->decision.value : change->current;
     const AcceptRequest request{change->key, change->ballot, value, change->voters};
     for (const NodeAddress& voter : voters) {
@@ -182,36 +187,36 @@
 
 void RegisterProposer::onAcceptReply(const ChangeHandle& change, std::uint64_t attempt,
                                      std::optional<AcceptReply> reply) {
-    if (reply) noteBallot(reply->highest);
+    if (reply) observeBallot(reply->highest);
     const bool outdated = reply && learnVoters(change, reply->newer_voters);
     if (change->attempt != attempt || change->phase != ChangePhase::accept) return;
-    ++change->answers;
-    if (reply && reply->voter && reply->accepted) ++change->votes;
-    if (change->votes >= change->majority()) {
+    ++change->reply_count;
+    if (reply && reply->voter && reply->accepted) ++change->vote_count;
+    if (change->vote_count >= change->majority()) {
         const bool wrote = change->decision.write;
         return finish(change, {true, wrote, change->ballot, wrote ? change->decision.value : change->current,
                                change->voters.version});
     }
-    const bool lost = change->votes + change->asked - change->answers < change->majority();
-    if (outdated || lost) retryLater(change);
+    const bool lost = change->vote_count + change->request_count - change->reply_count < change->majority();
+    if (outdated || lost) scheduleRetry(change);
 }
 
-void RegisterProposer::retryLater(const ChangeHandle& change) {
+void RegisterProposer::scheduleRetry(const ChangeHandle& change) {
     if (change->phase == ChangePhase::finished) return;
     change->phase = ChangePhase::waiting;
-    const int doublings = static_cast<int>(std::min<std::uint64_t>(change->attempt, kBackoffDoublings));
-    const std::int64_t longest = kBackoffMs << doublings;
+    const int doublings = static_cast<int>(std::min<std::uint64_t>(change->attempt, kMaxBackoffDoublings));
+    const std::int64_t longest = kInitialBackoffMs << doublings;
     const Millis pause{1 + std::uniform_int_distribution<std::int64_t>(0, longest)(random_)};
-    change->timer = later(change, pause, &RegisterProposer::startAttempt);
+    change->timer = scheduleStep(change, pause, &RegisterProposer::startAttempt);
 }
 
-TimerHandle RegisterProposer::later(const ChangeHandle& change, Millis delay, Step step) {
+TimerHandle RegisterProposer::scheduleStep(const ChangeHandle& change, Millis delay, Step step) {
     return scheduler_.after(delay, lifetime_.guard([this, step, weak = std::weak_ptr<Change>(change)] {
         if (const ChangeHandle waiting = weak.lock()) (this->*step)(waiting);
     }));
 }
 
-void RegisterProposer::giveUp(const ChangeHandle& change) {
+void RegisterProposer::finishUnknown(const ChangeHandle& change) {
     finish(change, {});
 }
 
@@ -228,7 +233,7 @@
     done(std::move(outcome));
 }
 
-void RegisterProposer::noteBallot(const Ballot& ballot) {
+void RegisterProposer::observeBallot(const Ballot& ballot) {
     highest_round_ = std::max(highest_round_, ballot.round);
 }
 
--- a/src/cluster/control/register_ring.hpp
+++ b/src/cluster/control/register_ring.hpp
@@ -1,4 +1,4 @@
-// The size of the ring on disk that holds a core machine's register.
+// Size of the on-disk ring that stores the register of a core machine.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 namespace amberswitch::cluster {
 
 inline constexpr std::uint64_t kRegisterRingBytes = 24 * 1024 * 1024;
-// No record is larger than a segment: it takes the largest value of a configuration several times.
+// A record must fit into one segment; the segment size is several times the largest configuration value.
 inline constexpr std::uint32_t kRegisterSegmentBytes = 4 * 1024 * 1024;
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/register_values.cpp
+++ b/src/cluster/control/register_values.cpp
@@ -13,39 +13,40 @@
 namespace {
 
 constexpr int kLogIntervalS = 10;
-// Of the body of a configuration; far above what an operator can send.
-constexpr std::size_t kMaxExpandedBytes = 64 * 1024 * 1024;
+// Limit for a decompressed configuration body; far above what the operator API accepts.
+constexpr std::size_t kMaxDecompressedBytes = 64 * 1024 * 1024;
 
-// Zeroed bytes decode too, to a value that nobody ever writes.
-bool isWritten(const ConfigurationState& state) {
+// Zeroed bytes decode without an error, but to values that are never written.
+bool isValid(const ConfigurationState& state) {
     return state.generation > 0;
 }
-bool isWritten(const StoreView& view) {
+bool isValid(const StoreView& view) {
     return view.leader_term > 0;
 }
-bool isWritten(const VoterSet& voters) {
+bool isValid(const VoterSet& voters) {
     return voters.version > 0 && !voters.addresses.empty();
 }
 
-// Whether a body may be what an operator sent: a JSON object, after white space at most.
+// Returns true if the body can be a configuration sent by an operator: a JSON object, after optional white
+// space.
 bool looksLikeJson(std::string_view body) {
     const std::size_t start = body.find_first_not_of(" \t\r\n");
     return start != std::string_view::npos && body[start] == '{';
 }
 
-// Turns the parts that are kept compressed into plain ones. False: they are damaged.
-bool expand(ConfigurationState& state) {
+// Decompresses the compressed fields in place. Returns false if they are damaged.
+bool decompressFields(ConfigurationState& state) {
     if (looksCompressed(state.body)) {
-        std::optional<std::string> body = decompressed(state.body, kMaxExpandedBytes);
+        std::optional<std::string> body = decompressed(state.body, kMaxDecompressedBytes);
         if (!body) return false;
         state.body = std::move(*body);
     }
     return looksLikeJson(state.body);
 }
-bool expand(const StoreView&) {
+bool decompressFields(const StoreView&) {
     return true;
 }
-bool expand(const VoterSet&) {
+bool decompressFields(const VoterSet&) {
     return true;
 }
 
@@ -53,7 +54,7 @@
 std::optional<Value> readValue(const std::string& bytes) {
     if (bytes.empty()) return Value{};
     std::optional<Value> value = decodeWhole<Value>(bytes);
-    if (!value || !isWritten(*value) || !expand(*value)) return std::nullopt;
+    if (!value || !isValid(*value) || !decompressFields(*value)) return std::nullopt;
     return value;
 }
 
@@ -62,7 +63,7 @@
     std::optional<Value> value = readValue<Value>(bytes);
     if (!value) {
         LOG_EVERY_T(ERROR, kLogIntervalS) << "the value of register key " << key << " (" << bytes.size()
-                                          << " bytes) is not readable; it is left as it is";
+                                          << " bytes) cannot be decoded; the stored value is left unchanged";
     }
     return value;
 }
--- a/src/cluster/control/register_voter.cpp
+++ b/src/cluster/control/register_voter.cpp
@@ -19,23 +19,27 @@
 }  // namespace
 
 RegisterVoter::RegisterVoter(RecordStore& disk, NodeAddress self,
-                             const std::vector<NodeAddress>& first_voters, bool bootstrap)
+                             const std::vector<NodeAddress>& initial_voters, bool bootstrap)
     : disk_(disk), self_(std::move(self)) {
     const bool has_records = load();
-    if (!has_records && bootstrap) startFirst(first_voters);
+    if (!has_records && bootstrap) initialize(initial_voters);
 }
 
-// False: there are none. What can't be read is no data, and has to be recovered.
+// Returns false if the disk has no records. Records that cannot be read count as present but invalid, so the
+// machine has to recover.
 bool RegisterVoter::load() {
     try {
         const bool has_records = loadRecords();
         if (!disk_.lacksRecords()) return has_records;
-        LOG(ERROR) << "records are missing on disk; this machine votes only after recovery";
-        valid_ = false;
+        LOG(ERROR)
+            << "register records are missing on disk; this machine does not vote until it has recovered";
+        data_valid_ = false;
         return true;
     } catch (const StorageError& error) {
-        LOG(ERROR) << "this machine votes only after recovery: " << error.what();
-        valid_ = false;
+        LOG(ERROR)
+            << "cannot read the register from disk; this machine does not vote until it has recovered: "
+            << error.what();
+        data_valid_ = false;
         return true;
     }
 }
@@ -45,22 +49,23 @@
     if (!stored_voters) return false;
     const auto voter_set = decode<VoterSetRecord>(*stored_voters);
     if (!voter_set) {
-        LOG(ERROR) << "the voter set on disk is not readable; this machine votes only after recovery";
+        LOG(ERROR)
+            << "the voter set on disk cannot be decoded; this machine does not vote until it has recovered";
         return true;
     }
     voters_ = voter_set->voters;
     voters_stored_ = true;
-    valid_ = true;
+    data_valid_ = true;
     for (const std::string key : {kConfigKey, kViewKey, kVotersKey}) {
         KeyState& state = keys_[key];
         if (const auto stored = disk_.read(kPromisePrefix + key)) {
             const auto promised = decode<Ballot>(*stored);
-            valid_ = valid_ && promised.has_value();
+            data_valid_ = data_valid_ && promised.has_value();
             if (promised) state.promised = *promised;
         }
         if (const auto stored = disk_.read(kAcceptedPrefix + key)) {
             auto accepted = decode<AcceptedRecord>(*stored);
-            valid_ = valid_ && accepted.has_value();
+            data_valid_ = data_valid_ && accepted.has_value();
             if (accepted) state.accepted = std::move(*accepted);
         }
         state.promised = std::max(state.promised, state.accepted.ballot);
@@ -68,20 +73,20 @@
     return true;
 }
 
-// Safe without wasEmpty(): a machine that has ever answered as a voter has its voter set on disk.
-void RegisterVoter::startFirst(const std::vector<NodeAddress>& first_voters) {
-    voters_ = {0, first_voters};
-    started_first_ = true;
-    completeFirstStart();
+// Does not need to check wasEmpty(): a machine that has ever replied as a voter has its voter set on disk.
+void RegisterVoter::initialize(const std::vector<NodeAddress>& initial_voters) {
+    voters_ = {0, initial_voters};
+    first_start_ = true;
+    completeInitialization();
 }
 
-void RegisterVoter::completeFirstStart() {
+void RegisterVoter::completeInitialization() {
     if (!voters_stored_ && !storeVoters()) return;
-    afterSync([this](bool synced) { valid_ = valid_ || synced; });
+    afterSync([this](bool synced) { data_valid_ = data_valid_ || synced; });
 }
 
 void RegisterVoter::onDiskHealthy() {
-    if (started_first_ && !valid_) completeFirstStart();
+    if (first_start_ && !data_valid_) completeInitialization();
 }
 
 bool RegisterVoter::storeVoters() {
@@ -135,22 +140,24 @@
     if (!newer || voters.addresses.empty()) return;
     voters_ = voters;
     voters_stored_ = false;
-    // On the disk of a machine without its data, the record would say that it has them.
-    const bool may_store = valid_ || started_first_;
-    if (may_store && storeVoters()) afterSync([](bool) {});  // a vote that needs it waits for its own sync
+    // A machine without its data must not store the record, since the record states that the data is
+    // complete.
+    const bool may_store = data_valid_ || first_start_;
+    if (may_store && storeVoters())
+        afterSync([](bool) {});  // a vote that depends on it waits for its own sync
 }
 
-bool RegisterVoter::followsVoters(const VoterSet& asked) {
-    learnVoters(asked);
-    if (asked.version < voters_.version) return false;
-    return voters_stored_ || !valid_ || storeVoters();
+bool RegisterVoter::adoptVoters(const VoterSet& requested) {
+    learnVoters(requested);
+    if (requested.version < voters_.version) return false;
+    return voters_stored_ || !data_valid_ || storeVoters();
 }
 
 void RegisterVoter::prepare(const PrepareRequest& request, std::function<void(PrepareReply)> done) {
     PrepareReply answer;
-    const bool follows = followsVoters(request.voters);
+    const bool voters_current = adoptVoters(request.voters);
     if (request.voters.version < voters_.version) answer.newer_voters = voters_;
-    if (!follows || !votes()) return done(answer);
+    if (!voters_current || !canVote()) return done(answer);
     const KeyState& state = keys_[request.key];
     answer.voter = true;
     answer.highest = state.promised;
@@ -167,9 +174,9 @@
 
 void RegisterVoter::accept(const AcceptRequest& request, std::function<void(AcceptReply)> done) {
     AcceptReply answer;
-    const bool follows = followsVoters(request.voters);
+    const bool voters_current = adoptVoters(request.voters);
     if (request.voters.version < voters_.version) answer.newer_voters = voters_;
-    if (!follows || !votes()) return done(answer);
+    if (!voters_current || !canVote()) return done(answer);
     const KeyState& state = keys_[request.key];
     answer.voter = true;
     answer.highest = state.promised;
@@ -187,11 +194,12 @@
         stored = stored && storeAccepted(recovered.key, {recovered.ballot, recovered.value});
     }
     if (!stored) return done(false);
-    // The voter set says that the registers are whole, so it must not become durable before them.
+    // The voter set record states that the data is complete, so it must not become durable before the
+    // registers.
     afterSync([this, done = std::move(done)](bool synced) {
         if (!synced || !storeVoters()) return done(false);
         afterSync([this, done](bool voters_synced) {
-            valid_ = voters_synced;
+            data_valid_ = voters_synced;
             done(voters_synced);
         });
     });
--- a/src/cluster/control/register_voter.hpp
+++ b/src/cluster/control/register_voter.hpp
@@ -1,11 +1,11 @@
-// The voter of the register: promises ballots and accepts values, each synced to disk before it is told. It
-// takes part only in rounds of the newest voters that it knows, so that a majority of older ones ends with
-// them.
+// Voter (acceptor) of the register: promises ballots and accepts values. Each promise and accepted value is
+// synced to disk before the reply is sent. The voter only takes part in rounds of the newest voter set it
+// knows; rounds of older sets therefore lose their majority.
 //
-// While its disk fails it does not vote. What it holds in memory is then never less than what is on the disk:
-// a promise or a value that was staged, but not told to anyone, only makes it refuse more, or is offered to
-// later proposers as a value that may have been chosen. Once the disk is healthy both are equal, and it votes
-// again without asking anyone.
+// While its disk fails it does not vote. Its memory then never holds less than the disk: a promise or value
+// that was staged, but not reported to a proposer, only makes it reject more requests, or is returned to
+// later proposers as a value that may have been chosen. Once the disk is healthy, memory and disk are equal
+// and it votes again without recovery.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
 
 namespace amberswitch::cluster {
 
-// One of the accepted proposals that a voter without data takes over from the others.
+// An accepted proposal that a voter without data takes over from the other voters.
 struct RecoveredRegister {
     std::string key;
     Ballot ballot;
@@ -30,43 +30,46 @@
 
 class RegisterVoter {
 public:
-    // `self`: internal address of this machine. With `bootstrap` and no voter set on disk, `first_voters`
-    // become the voters and this machine is valid as soon as that is synced.
-    RegisterVoter(RecordStore& disk, NodeAddress self, const std::vector<NodeAddress>& first_voters,
+    // `self` is the internal address of this machine. With `bootstrap` and no voter set on disk,
+    // `initial_voters` become the voters, and the data of this machine is valid as soon as that set is
+    // synced.
+    RegisterVoter(RecordStore& disk, NodeAddress self, const std::vector<NodeAddress>& initial_voters,
                   bool bootstrap);
 
     void prepare(const PrepareRequest& request, std::function<void(PrepareReply)> done);
     void accept(const AcceptRequest& request, std::function<void(AcceptReply)> done);
 
-    // Has its data and its disk works, so that it may be a voter.
-    bool hasData() const { return valid_ && diskWorks(); }
-    bool diskWorks() const { return disk_.healthy(); }
-    // Has its data and is among the newest voters known.
-    bool votes() const {
+    // True if the register data is complete and the disk works, so that this machine may be a voter.
+    bool hasData() const { return data_valid_ && isDiskHealthy(); }
+    bool isDiskHealthy() const { return disk_.healthy(); }
+    // True if this machine has its data and is in the newest known voter set.
+    bool canVote() const {
         return (hasData() || isPlanted(PlantedFault::votes_before_recovery)) && isAmongVoters();
     }
-    // Has no data, or none that may be trusted; must recover before it may vote.
-    bool needsRecovery() const { return !valid_ && !started_first_; }
-    // True where this process started the register for the first time.
-    bool startedFirst() const { return started_first_; }
+    // True if the data is missing or cannot be trusted; the machine must recover before it may vote.
+    bool needsRecovery() const { return !data_valid_ && !first_start_; }
+    // True if this process initialized the register on an empty disk (bootstrap).
+    bool isFirstStart() const { return first_start_; }
     const NodeAddress& self() const { return self_; }
-    // Empty while they are not known.
+    // The newest known voters; empty while none are known.
     const std::vector<NodeAddress>& voters() const { return voters_.addresses; }
-    // The newest known. Only sets that were chosen are ever known here.
+    // The newest known voter set. Only sets that were chosen are ever stored here.
     const VoterSet& voterSet() const { return voters_; }
     bool isAmongVoters() const;
-    // What this voter accepted last, chosen or not; empty if nothing.
+    // The value accepted last, chosen or not; empty if there is none.
     std::string acceptedValue(const std::string& key) const;
-    // Its ballot; round 0 if nothing.
+    // The ballot of the value accepted last; round 0 if there is none.
     Ballot acceptedBallot(const std::string& key) const;
-    // The highest that it promised or accepted; round 0 if none.
+    // The highest ballot promised or accepted; round 0 if there is none.
     Ballot promisedBallot(const std::string& key) const;
 
-    // Call it when the disk is healthy again: a first start that it held up is completed.
+    // Must be called when the disk becomes healthy again; completes an initialization that the disk failure
+    // delayed.
     void onDiskHealthy();
-    // Takes over chosen voters that are newer than those known here.
+    // Adopts a chosen voter set if it is newer than the known one.
     void learnVoters(const VoterSet& voters);
-    // Takes over the registers and is valid once they are synced; `done(false)`: the disk failed.
+    // Stores the recovered registers; the data is valid once they are synced. `done(false)` reports a disk
+    // failure.
     void recover(const std::vector<RecoveredRegister>& registers, std::function<void(bool)> done);
 
 private:
@@ -77,24 +80,24 @@
 
     bool load();
     bool loadRecords();
-    void startFirst(const std::vector<NodeAddress>& first_voters);
-    void completeFirstStart();
+    void initialize(const std::vector<NodeAddress>& initial_voters);
+    void completeInitialization();
     bool storeVoters();
-    // Learns the voters of a request. False: a vote may not be given, as they are not this machine's newest,
-    // or can't be kept.
-    bool followsVoters(const VoterSet& asked);
+    // Learns the voter set of a request. Returns false if no vote may be given: the set is older than the
+    // known one, or the newer set cannot be stored.
+    bool adoptVoters(const VoterSet& requested);
     bool storePromise(const std::string& key, const Ballot& ballot);
     bool storeAccepted(const std::string& key, AcceptedRecord accepted);
-    // Runs `done` with whether everything staged so far is durable.
+    // Calls `done` with true once everything staged so far is durable, or with false if the sync failed.
     void afterSync(std::function<void(bool)> done);
 
     RecordStore& disk_;
     NodeAddress self_;
     VoterSet voters_;
-    bool voters_stored_ = false;  // on disk, or staged
+    bool voters_stored_ = false;  // the voter set is on disk, or staged for the next sync
     std::map<std::string, KeyState> keys_;
-    bool valid_ = false;
-    bool started_first_ = false;
+    bool data_valid_ = false;
+    bool first_start_ = false;
     Lifetime lifetime_;
 };
 
--- a/src/cluster/control/send_budget.hpp
+++ b/src/cluster/control/send_budget.hpp
@@ -1,5 +1,5 @@
-// Bounds the bytes that a process sends on purpose in one stretch, so that what is small and urgent (leases,
-// votes) finds room on the same link.
+// Limits the rate at which a process sends bulk data, so that small urgent messages (leases, votes) find room
+// on the same link.
 #pragma once
 
 #include <algorithm>
@@ -9,17 +9,18 @@
 
 namespace amberswitch::cluster {
 
-// A token bucket. More may be sent while it is not empty, so one answer may exceed it; the next one waits.
+// A token bucket. Sending is allowed while it is not empty, so one message may overdraw it; the next one then
+// waits.
 class SendBudget {
 public:
-    // `bytes_per_s` 0: no bound.
+    // `bytes_per_s` 0 means no limit.
     SendBudget(double bytes_per_s, Millis burst)
         : bytes_per_ms_(bytes_per_s / kMillisPerSecond),
-          most_bytes_(bytes_per_ms_ * static_cast<double>(burst.count())),
-          bytes_(most_bytes_) {}
+          max_bytes_(bytes_per_ms_ * static_cast<double>(burst.count())),
+          bytes_(max_bytes_) {}
 
-    // Until there is room; 0 where there is now.
-    Millis waitAt(SteadyTime now) {
+    // Time until sending is allowed; 0 if it is allowed now.
+    Millis timeUntilAvailable(SteadyTime now) {
         if (bytes_per_ms_ <= 0) return Millis(0);
         refill(now);
         if (bytes_ > 0) return Millis(0);
@@ -32,15 +33,15 @@
     static constexpr double kMicrosPerMilli = 1000;
 
     void refill(SteadyTime now) {
-        const auto passed = static_cast<double>((now - filled_at_).count()) / kMicrosPerMilli;
-        bytes_ = std::min(most_bytes_, bytes_ + passed * bytes_per_ms_);
-        filled_at_ = now;
+        const auto elapsed = static_cast<double>((now - refilled_at_).count()) / kMicrosPerMilli;
+        bytes_ = std::min(max_bytes_, bytes_ + elapsed * bytes_per_ms_);
+        refilled_at_ = now;
     }
 
     double bytes_per_ms_;
-    double most_bytes_;
+    double max_bytes_;
     double bytes_;
-    SteadyTime filled_at_{};
+    SteadyTime refilled_at_{};
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/store_view_keeper.cpp
+++ b/src/cluster/control/store_view_keeper.cpp
@@ -43,7 +43,7 @@
       tolerated_(tolerated) {}
 
 bool StoreViewKeeper::isActing() const {
-    return election_.isLeader() && claimed_reign_ != 0 && claimed_reign_ == election_.reign();
+    return election_.isLeader() && claimed_reign_ != 0 && claimed_reign_ == election_.leadershipPeriod();
 }
 
 void StoreViewKeeper::onElected() {
@@ -55,9 +55,9 @@
 }
 
 void StoreViewKeeper::claim() {
-    const std::uint64_t reign = election_.reign();
+    const std::uint64_t reign = election_.leadershipPeriod();
     const auto decide = [this, reign](const std::string& current) {
-        if (!election_.isLeader() || election_.reign() != reign) return Decision::keep();
+        if (!election_.isLeader() || election_.leadershipPeriod() != reign) return Decision::keep();
         std::optional<StoreView> view = readStoreView(current);
         if (!view) return Decision::keep();
         view->leader = self_;
@@ -70,11 +70,11 @@
 }
 
 void StoreViewKeeper::onClaimOutcome(std::uint64_t reign, const ChangeOutcome& outcome) {
-    if (!election_.isLeader() || election_.reign() != reign) return;
+    if (!election_.isLeader() || election_.leadershipPeriod() != reign) return;
     const std::optional<StoreView> view = readStoreView(outcome.value);
     if (!view) {
         timer_ = scheduler_.after(kUnreadablePause, [this, reign] {
-            if (election_.isLeader() && election_.reign() == reign) claim();
+            if (election_.isLeader() && election_.leadershipPeriod() == reign) claim();
         });
         return;
     }
@@ -151,7 +151,7 @@
     std::vector<StoreObservation> observed;
     std::vector<MemberEntry> known = membership_.known(NodeKind::store);
     for (const MemberEntry& entry : known) {
-        const bool silent = scheduler_.now() - entry.last_seen > kStoreSilence;
+        const bool silent = scheduler_.now() - entry.last_seen > kStoreTimeout;
         // Before it has listened for long enough, a leader neither drops a silent store nor takes it back.
         if (!silent || hasListened()) observed.push_back({entry.member, silent});
     }
--- a/src/cluster/control/typed_call.hpp
+++ b/src/cluster/control/typed_call.hpp
@@ -1,4 +1,4 @@
-// A call with a typed reply.
+// Remote calls with a typed reply.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,8 @@
 
 namespace amberswitch::cluster {
 
-// `done` gets nothing where no answer came or where it is not a Reply.
+// Sends `request` and passes the decoded reply to `done`, or std::nullopt if there was no reply or it is not
+// a Reply.
 template <class Reply, class Request>
 void callFor(Transport& transport, const NodeAddress& to, MessageKind kind, const Request& request,
              Millis timeout, std::function<void(std::optional<Reply>)> done) {
--- a/src/cluster/control/voter_recovery.cpp
+++ b/src/cluster/control/voter_recovery.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Millis kRetryInterval{200};
-constexpr Millis kAskTimeout{400};
-constexpr Millis kRoundsTimeout{3000};
+constexpr Millis kReadVotersTimeout{400};
+constexpr Millis kRecoverKeyTimeout{3000};
 const std::array<std::string, 3> kKeys{kVotersKey, kConfigKey, kViewKey};
 
 }  // namespace
@@ -35,63 +35,64 @@
 void VoterRecovery::step() {
     timer_.reset();
     if (!voter_.needsRecovery()) return;
-    if (!voter_.diskWorks()) return stepLater();
-    if (voter_.voters().empty()) return askForVoters();
+    if (!voter_.isDiskHealthy()) return scheduleRetry();
+    if (voter_.voters().empty()) return requestVoters();
     if (voter_.voterSet().version != voters_version_) recovered_.clear();
     voters_version_ = voter_.voterSet().version;
-    recoverNext();
+    recoverNextKey();
 }
 
-void VoterRecovery::stepLater() {
+void VoterRecovery::scheduleRetry() {
     timer_ = scheduler_.after(kRetryInterval, [this] { step(); });
 }
 
-void VoterRecovery::askForVoters() {
+void VoterRecovery::requestVoters() {
     for (const NodeAddress& peer : peers_()) {
         const auto done = [this](const std::optional<ReadVotersReply>& reply) {
-            if (reply) onVotersTold(reply->voters);
+            if (reply) onVotersReceived(reply->voters);
         };
-        callFor<ReadVotersReply>(transport_, peer, kReadVoters, ReadVotersRequest{name_}, kAskTimeout,
+        callFor<ReadVotersReply>(transport_, peer, kReadVoters, ReadVotersRequest{name_}, kReadVotersTimeout,
                                  lifetime_.guard(done));
     }
-    stepLater();
+    scheduleRetry();
 }
 
-// The first voters told are asked at once: where they are outdated, they tell newer ones.
-void VoterRecovery::onVotersTold(const VoterSet& voters) {
-    const bool knew_none = voter_.voters().empty();
+// Recovery continues at once with the first voters received; if they are outdated, their replies contain
+// newer ones.
+void VoterRecovery::onVotersReceived(const VoterSet& voters) {
+    const bool had_none = voter_.voters().empty();
     voter_.learnVoters(voters);
-    if (knew_none && !voter_.voters().empty()) step();
+    if (had_none && !voter_.voters().empty()) step();
 }
 
-void VoterRecovery::recoverNext() {
-    if (recovered_.size() == kKeys.size()) return store();
+void VoterRecovery::recoverNextKey() {
+    if (recovered_.size() == kKeys.size()) return storeRecovered();
     const std::string& key = kKeys[recovered_.size()];
     const auto keep = [](const std::string&) { return Decision::keep(); };
-    const auto done = [this, key](ChangeOutcome outcome) { onKept(key, std::move(outcome)); };
+    const auto done = [this, key](ChangeOutcome outcome) { onKeyRecovered(key, std::move(outcome)); };
     const ChangeOptions options{
-        .timeout = kRoundsTimeout, .recovery = true, .voters_version = voters_version_};
+        .timeout = kRecoverKeyTimeout, .recovery = true, .voters_version = voters_version_};
     proposer_.change(key, keep, options, lifetime_.guard(done));
 }
 
-void VoterRecovery::onKept(const std::string& key, ChangeOutcome outcome) {
-    // The voters known here may be long gone.
-    if (!outcome.known) return askForVoters();
+void VoterRecovery::onKeyRecovered(const std::string& key, ChangeOutcome outcome) {
+    // The voters known here may no longer exist.
+    if (!outcome.known) return requestVoters();
     if (key == kVotersKey) {
         const std::optional<VoterSet> newest = readVoterSet(outcome.value);
-        // Who votes now is not known, so neither is whether a majority of them was asked.
-        if (!newest) return askForVoters();
+        // The current voter set is unknown, so it is unknown whether a majority of it was asked.
+        if (!newest) return requestVoters();
         voter_.learnVoters(*newest);
     }
     if (voter_.voterSet().version != voters_version_) return step();
     recovered_.push_back({key, outcome.ballot, std::move(outcome.value)});
-    recoverNext();
+    recoverNextKey();
 }
 
-void VoterRecovery::store() {
+void VoterRecovery::storeRecovered() {
     voter_.recover(recovered_, lifetime_.guard([this](bool stored) {
-        if (!stored) return stepLater();
-        LOG(INFO) << "the register is copied; this machine may vote";
+        if (!stored) return scheduleRetry();
+        LOG(INFO) << "register recovered from the other voters; this machine can vote";
         if (on_recovered_) on_recovered_();
     }));
 }
--- a/src/cluster/control/voter_recovery.hpp
+++ b/src/cluster/control/voter_recovery.hpp
@@ -1,11 +1,15 @@
-// Makes a core machine that started without its data able to vote: one that lost its disk, or a new one.
+// Restores the register data of a core machine that started without it, either because it lost its disk or
+// because it is new, so that it can vote.
 //
-// It learns the voters from the others, then has a majority counted without itself accept each register's
-// value at a ballot far above every one that it may have promised before its data was lost. After that round
-// no older proposal can still be chosen with a vote that was forgotten here, and what was chosen with one is
-// among the values read. Only then are the registers stored here, and this machine votes if it is a voter.
-// The register of the voters comes first. Its value is the newest set at that time, so no vote of a newer set
-// can have been forgotten; where it is newer than the set that was asked, all begins again with it.
+// The machine reads the voter set from the others. For each register it then runs a round that keeps the
+// value, at a ballot far above every one that it may have promised before it lost its data; its own vote is
+// not counted towards the majority. After that round no older proposal can still be chosen with a vote that
+// this machine forgot, and anything already chosen with such a vote is among the values read. Only then are
+// the registers stored here, and the machine votes if it is a voter.
+//
+// The register of the voters is recovered first. Its value is the newest voter set at that time, so the
+// machine cannot have forgotten a vote in a newer set. If that set is newer than the one whose voters were
+// asked, recovery starts over with it.
 #pragma once
 
 #include <functional>
@@ -28,19 +32,19 @@
     VoterRecovery(Scheduler& scheduler, Transport& transport, RegisterVoter& voter,
                   RegisterProposer& proposer, std::string name, PeersFunction peers);
 
-    // Does nothing where the voter has its data.
+    // Starts the recovery; does nothing if the voter has its data.
     void start();
-    // Runs when the registers have been stored here.
+    // Called when the registers have been stored on this machine.
     void onRecovered(std::function<void()> listener) { on_recovered_ = std::move(listener); }
 
 private:
     void step();
-    void stepLater();
-    void askForVoters();
-    void onVotersTold(const VoterSet& voters);
-    void recoverNext();
-    void onKept(const std::string& key, ChangeOutcome outcome);
-    void store();
+    void scheduleRetry();
+    void requestVoters();
+    void onVotersReceived(const VoterSet& voters);
+    void recoverNextKey();
+    void onKeyRecovered(const std::string& key, ChangeOutcome outcome);
+    void storeRecovered();
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -50,7 +54,7 @@
     PeersFunction peers_;
     std::function<void()> on_recovered_;
     std::vector<RecoveredRegister> recovered_;
-    std::uint64_t voters_version_ = 0;  // of the voters that accepted what is recovered
+    std::uint64_t voters_version_ = 0;  // voter set version of the rounds in `recovered_`
     TimerHandle timer_;
     Lifetime lifetime_;
 };
--- a/tests/cluster/control_election_test.cpp
+++ b/tests/cluster/control_election_test.cpp
@@ -1,4 +1,5 @@
-// The leader lease: never two holders, also with frozen processes, cuts, loss and restarts.
+// The leader lease never has two holders, even with frozen processes, network cuts, message loss and
+// restarts.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,41 +16,42 @@
 
 const std::string kNoLastLeader;
 
-// Holds back all work of one process while it is frozen, and lets it run at the thaw.
+// Defers all work of one process while it is frozen, and runs it when it thaws.
 class Freezer {
 public:
     bool frozen = false;
 
-    std::function<void()> wrap(std::function<void()> work) {
+    std::function<void()> deferWhileFrozen(std::function<void()> work) {
         return [this, work = std::move(work)] {
             if (frozen)
-                held_.push_back(work);
+                deferred_.push_back(work);
             else
                 work();
         };
     }
     void thaw() {
         frozen = false;
-        for (const auto& work : std::exchange(held_, {})) work();
+        for (const auto& work : std::exchange(deferred_, {})) work();
     }
 
 private:
-    std::vector<std::function<void()>> held_;
+    std::vector<std::function<void()>> deferred_;
 };
 
 class FreezableScheduler : public SimulatedScheduler {
 public:
     FreezableScheduler(World& world, Freezer& freezer) : SimulatedScheduler(world), freezer_(freezer) {}
     TimerHandle after(Millis delay, std::function<void()> work) override {
-        // Like the real one, the handle cancels work that is due and held back.
+        // As in the real scheduler, the handle also cancels work that is due but deferred.
         const auto alive = std::make_shared<bool>(true);
-        auto inner = SimulatedScheduler::after(delay, freezer_.wrap([alive, work = std::move(work)] {
-            if (*alive) work();
-        }));
+        auto inner =
+            SimulatedScheduler::after(delay, freezer_.deferWhileFrozen([alive, work = std::move(work)] {
+                if (*alive) work();
+            }));
         return std::make_unique<FreezableTimer>(std::move(inner), alive);
     }
     void post(std::function<void()> work) override {
-        SimulatedScheduler::post(freezer_.wrap(std::move(work)));
+        SimulatedScheduler::post(freezer_.deferWhileFrozen(std::move(work)));
     }
 
 private:
@@ -72,16 +74,17 @@
         : MemoryTransport(world, network, std::move(self)), freezer_(freezer) {}
     void call(const NodeAddress& to, Envelope request, Millis timeout,
               std::function<void(CallResult)> done) override {
-        MemoryTransport::call(to, std::move(request), timeout,
-                              [this, done = std::move(done)](CallResult result) {
-                                  freezer_.wrap([done, result = std::move(result)] { done(result); })();
-                              });
+        MemoryTransport::call(
+            to, std::move(request), timeout, [this, done = std::move(done)](CallResult result) {
+                freezer_.deferWhileFrozen([done, result = std::move(result)] { done(result); })();
+            });
     }
     void serve(RequestHandler handler) override {
-        MemoryTransport::serve([this, handler = std::move(handler)](const Envelope& request,
-                                                                    Responder respond) {
-            freezer_.wrap([handler, request, respond = std::move(respond)] { handler(request, respond); })();
-        });
+        MemoryTransport::serve(
+            [this, handler = std::move(handler)](const Envelope& request, Responder respond) {
+                freezer_.deferWhileFrozen(
+                    [handler, request, respond = std::move(respond)] { handler(request, respond); })();
+            });
     }
 
 private:
@@ -102,7 +105,7 @@
         freezer_ = std::make_unique<Freezer>();
         scheduler_ = std::make_unique<FreezableScheduler>(world_, *freezer_);
         transport_ = std::make_unique<FreezableTransport>(world_, network_, self_, *freezer_);
-        const ElectionHooks hooks{.electors = [] { return addresses(); },
+        const ElectionHooks hooks{.voters = [] { return addresses(); },
                                   .may_vote = [] { return true; },
                                   .last_leader = [] { return std::string(); }};
         election_ = std::make_unique<LeaderElection>(*scheduler_, *transport_,
@@ -135,9 +138,9 @@
     std::unique_ptr<LeaderElection> election_;
 };
 
-class ElectionPlay {
+class ElectionSimulation {
 public:
-    explicit ElectionPlay(std::uint64_t seed) : world(seed), network(world) {
+    explicit ElectionSimulation(std::uint64_t seed) : world(seed), network(world) {
         for (std::size_t index = 0; index < 3; ++index) {
             candidates[index] = std::make_unique<Candidate>(world, network, index);
             candidates[index]->start(true);
@@ -155,16 +158,16 @@
         return nullptr;
     }
     Candidate& any() { return *candidates[world.random()() % 3]; }
-    // Plays on, looking every few milliseconds; the most leaders seen at one moment.
-    std::size_t mostLeaders(Millis span) {
-        std::size_t most = 0;
+    // Runs for `span`, sampling every 5 ms; returns the highest number of leaders at one moment.
+    std::size_t maxLeaders(Millis span) {
+        std::size_t max_leaders = 0;
         for (Millis passed{0}; passed < span; passed += Millis(5)) {
             world.run(Millis(5));
-            most = std::max(most, leaders());
+            max_leaders = std::max(max_leaders, leaders());
         }
-        return most;
+        return max_leaders;
     }
-    void trouble() {
+    void injectFault() {
         Candidate& victim = any();
         const double draw = world.chance();
         const Millis span{static_cast<std::int64_t>(world.chance() * 2500)};
@@ -195,58 +198,58 @@
 TEST_CASE("never two leaders at one moment, over 200 seeds of freezes, cuts, kills and loss") {
     std::size_t elected = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-        ElectionPlay play(seed);
-        play.network.loss = 0.1;
-        play.network.jitter = Millis(seed % 2 == 0 ? 5 : 400);  // late messages overtake each other
+        ElectionSimulation sim(seed);
+        sim.network.loss = 0.1;
+        sim.network.jitter = Millis(seed % 2 == 0 ? 5 : 400);  // delayed messages may be reordered
         for (int step = 0; step < 40; ++step) {
-            if (play.world.chance() < 0.4) play.trouble();
-            CHECK_MESSAGE(play.mostLeaders(Millis(200)) <= 1, "seed " << seed);
-            elected += play.leaders();
+            if (sim.world.chance() < 0.4) sim.injectFault();
+            CHECK_MESSAGE(sim.maxLeaders(Millis(200)) <= 1, "seed " << seed);
+            elected += sim.leaders();
         }
     }
     CHECK(elected > 2000);
 }
 
-TEST_CASE("a first start has a leader within a second, and keeps it while all is calm") {
+TEST_CASE("a first start has a leader within 1.5 s, and keeps it while there are no faults") {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        ElectionPlay play(seed);
-        CHECK(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(1500)));
-        Candidate* leader = play.leader();
+        ElectionSimulation sim(seed);
+        CHECK(sim.world.runUntil([&] { return sim.leader() != nullptr; }, Millis(1500)));
+        Candidate* leader = sim.leader();
         REQUIRE(leader != nullptr);
-        play.world.run(Millis(20000));
-        CHECK(play.leader() == leader);
-        CHECK(leader->election().reign() == 1);
+        sim.world.run(Millis(20000));
+        CHECK(sim.leader() == leader);
+        CHECK(leader->election().leadershipPeriod() == 1);
     }
 }
 
-TEST_CASE("a frozen holder finds its lease gone at the very moment it wakes") {
-    ElectionPlay play(4);
-    play.world.run(Millis(2000));
-    Candidate* leader = play.leader();
+TEST_CASE("a frozen lease holder no longer leads at the moment it wakes") {
+    ElectionSimulation sim(4);
+    sim.world.run(Millis(2000));
+    Candidate* leader = sim.leader();
     REQUIRE(leader != nullptr);
     leader->freezer().frozen = true;
-    play.world.run(Millis(1250));
+    sim.world.run(Millis(1250));
     CHECK_FALSE(leader->leads());
-    CHECK(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(2000)));
-    CHECK(play.leader() != leader);
+    CHECK(sim.world.runUntil([&] { return sim.leader() != nullptr; }, Millis(2000)));
+    CHECK(sim.leader() != leader);
     leader->freezer().thaw();
     CHECK_FALSE(leader->leads());
-    play.world.run(Millis(3000));
-    CHECK(play.leaders() == 1);
+    sim.world.run(Millis(3000));
+    CHECK(sim.leaders() == 1);
 }
 
-TEST_CASE("a short freeze that outlasts the lease begins a new reign, even if nobody else led") {
-    ElectionPlay play(5);
-    play.world.run(Millis(2000));
-    Candidate* leader = play.leader();
+TEST_CASE("a freeze longer than the lease starts a new leadership period, even if no other machine led") {
+    ElectionSimulation sim(5);
+    sim.world.run(Millis(2000));
+    Candidate* leader = sim.leader();
     REQUIRE(leader != nullptr);
-    const std::uint64_t before = leader->election().reign();
+    const std::uint64_t before = leader->election().leadershipPeriod();
     leader->freezer().frozen = true;
-    play.world.run(Millis(1210));
+    sim.world.run(Millis(1210));
     leader->freezer().thaw();
-    play.world.run(Millis(3000));
-    if (play.leader() == leader) CHECK(leader->election().reign() == before + 1);
-    CHECK(play.leaders() == 1);
+    sim.world.run(Millis(3000));
+    if (sim.leader() == leader) CHECK(leader->election().leadershipPeriod() == before + 1);
+    CHECK(sim.leaders() == 1);
 }
 
 TEST_CASE("a core machine that has just started gives no vote for a whole lease") {
@@ -272,7 +275,7 @@
     CHECK(grantor.answer({"b", 2, 1500, 3}, "a").granted);
 }
 
-TEST_CASE("a late give-back does not take back the vote of a newer round") {
+TEST_CASE("a delayed release does not revoke the vote of a newer round") {
     World world(1);
     SimulatedScheduler scheduler(world);
     LeaseGrantor grantor(scheduler, true);
@@ -286,13 +289,13 @@
     CHECK(grantor.answer({"b", 2, 1500, 1}, kNoLastLeader).granted);
 }
 
-TEST_CASE("a leader that leaves stops at once and the next one need not wait for the lease") {
-    ElectionPlay play(8);
-    play.world.run(Millis(2000));
-    Candidate* leader = play.leader();
+TEST_CASE("a leader that leaves stops at once, and the next one does not wait for the lease to end") {
+    ElectionSimulation sim(8);
+    sim.world.run(Millis(2000));
+    Candidate* leader = sim.leader();
     REQUIRE(leader != nullptr);
     leader->election().leave();
     CHECK_FALSE(leader->leads());
-    CHECK(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(900)));
-    CHECK(play.leader() != leader);
+    CHECK(sim.world.runUntil([&] { return sim.leader() != nullptr; }, Millis(900)));
+    CHECK(sim.leader() != leader);
 }
--- a/tests/cluster/control_loss_world.hpp
+++ b/tests/cluster/control_loss_world.hpp
@@ -1,5 +1,5 @@
-// A world of core machines that are lost, replaced and lost again while an operator goes on with orders.
-// AMBERSWITCH_VOTER_PLAYS sets the number of plays of each kind.
+// A simulated cluster whose core machines are lost, replaced and lost again while an operator continues to
+// change the configuration. AMBERSWITCH_VOTER_PLAYS sets the number of runs of each kind.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -15,17 +15,18 @@
 
 namespace amberswitch::cluster::simulation {
 
-inline constexpr Millis kCatchUp{4500};  // a loss counts for this long after the machine's return
-inline constexpr Millis kWhole{1500};    // from the recovery of a new machine until the next loss is borne
-inline constexpr Millis kOrderWithin{6000};   // an order after a loss that is borne
-inline constexpr Millis kLastingLoss{30000};  // longer than what is left of a play
+inline constexpr Millis kReturnGrace{4500};  // a machine counts as lost for this long after its return
+inline constexpr Millis kRedundancyRestored{
+    1500};  // from the recovery of a new machine until the next loss is tolerated
+inline constexpr Millis kChangeTimeout{6000};  // for a configuration change after a tolerated loss
+inline constexpr Millis kLastingLoss{30000};   // longer than the rest of a run
 
-inline std::size_t playCount(std::size_t in_ci) {
+inline std::size_t runCount(std::size_t default_runs) {
     const char* wanted = std::getenv("AMBERSWITCH_VOTER_PLAYS");
-    return wanted == nullptr ? in_ci : std::strtoul(wanted, nullptr, 10);
+    return wanted == nullptr ? default_runs : std::strtoul(wanted, nullptr, 10);
 }
 
-// Of the network's delays, in a play.
+// Network jitter of a run.
 inline constexpr std::array<Millis, 3> kJitters{Millis(1), Millis(6), Millis(20)};
 
 enum class Loss : std::uint8_t { for_good, disk, cut_off, frozen };
@@ -39,17 +40,17 @@
 public:
     explicit LossWorld(std::uint64_t seed, std::size_t machines = 3) : VotersWorld(seed, machines) {}
 
-    // Starts all and takes a first order, at a moment that depends on the seed.
+    // Starts all machines and makes a first configuration change, at a time that depends on the seed.
     void begin() {
         startAll();
-        world.run(Millis(4000) + draw(1000));
+        world.run(Millis(4000) + randomSpan(1000));
         REQUIRE(leader() != nullptr);
-        REQUIRE(order(kOrderWithin));
+        REQUIRE(makeChange(kChangeTimeout));
     }
-    void runTo(SteadyTime moment) {
+    void runUntilTime(SteadyTime moment) {
         if (moment > world.now()) world.run(Millis(millisBetween(world.now(), moment)));
     }
-    Millis draw(std::int64_t below) {
+    Millis randomSpan(std::int64_t below) {
         return Millis(static_cast<std::int64_t>(world.chance() * static_cast<double>(below)));
     }
     CoreMachine& follower() {
@@ -60,14 +61,14 @@
         }
         return *core.front();
     }
-    CoreMachine& drawOther(const CoreMachine* than = nullptr) {
-        std::vector<CoreMachine*> there;
+    CoreMachine& randomRunning(const CoreMachine* excluded = nullptr) {
+        std::vector<CoreMachine*> running;
         for (auto& machine : core) {
-            if (machine->runs() && machine.get() != than) there.push_back(machine.get());
+            if (machine->runs() && machine.get() != excluded) running.push_back(machine.get());
         }
-        return *there[world.random()() % there.size()];
+        return *running[world.random()() % running.size()];
     }
-    void lose(CoreMachine& machine, Loss loss) {
+    void injectLoss(CoreMachine& machine, Loss loss) {
         if (loss == Loss::cut_off) return network.isolate(machine.ip());
         if (loss == Loss::frozen) return machine.freeze(kLastingLoss);
         machine.kill();
@@ -75,15 +76,15 @@
         machine.wipe();
         world.at(world.now() + Millis(300), [&machine] { machine.start(); });
     }
-    // A machine is lost for good and an empty one starts a second later at another address.
+    // Kills a machine for good, and starts an empty one at another address a second later.
     CoreMachine& replaceLost(CoreMachine& lost) {
         lost.kill();
         world.run(Millis(1000));
-        return addEmpty();
+        return addEmptyMachine();
     }
     static bool hasRecovered(const CoreMachine& machine) { return machine.statusHas("\"recovering\":false"); }
-    // The operator repeats one order at all machines in turn until it is acknowledged.
-    bool order(Millis within) {
+    // Sends one configuration change to all machines in turn until it is acknowledged.
+    bool makeChange(Millis within) {
         const std::string body = configurationJson(acknowledged + 1);
         const SteadyTime end = world.now() + within;
         const auto taken = std::make_shared<bool>(false);
@@ -99,9 +100,9 @@
         acknowledged += *taken ? 1 : 0;
         return *taken;
     }
-    // After the loss of `lost`, all others take orders and serve the newest one.
+    // Checks that after the loss of `lost` all others accept changes and serve the newest configuration.
     void checkService(const CoreMachine* lost) {
-        CHECK(order(kOrderWithin));
+        CHECK(makeChange(kChangeTimeout));
         const auto all_serve = [&] {
             return std::all_of(core.begin(), core.end(), [&](const auto& machine) {
                 const std::string generation = "\"configuration\":" + std::to_string(acknowledged) + ",";
@@ -109,16 +110,16 @@
             });
         };
         CHECK(world.runUntil(all_serve, Millis(3000)));
-        checkSets();
+        checkVoterSets();
     }
-    // One version is one list, wherever it is known.
-    void checkSets() {
+    // Checks that each voter set version stands for the same list on every machine.
+    void checkVoterSets() {
         for (const auto& machine : core) {
             if (!machine->runs()) continue;
             const std::string status = machine->node().statusJson();
             const std::size_t at = status.find("\"votersVersion\":");
             const std::string version = status.substr(at, status.find(',', at) - at);
-            const auto known = sets_.try_emplace(version, votersOf(*machine)).first;
+            const auto known = voter_sets_.try_emplace(version, votersOf(*machine)).first;
             CHECK(known->second == votersOf(*machine));
         }
     }
@@ -126,10 +127,10 @@
     std::int64_t acknowledged = 0;
 
 private:
-    std::map<std::string, std::string> sets_;
+    std::map<std::string, std::string> voter_sets_;
 };
 
-// How long something took in each play.
+// Durations measured in a number of runs.
 class Durations {
 public:
     void add(std::int64_t ms) { all_.push_back(ms); }
--- a/tests/cluster/control_register_test.cpp
+++ b/tests/cluster/control_register_test.cpp
@@ -1,4 +1,4 @@
-// Safety of the register under loss, cuts, crashes and a lost disk, over many seeds.
+// Safety of the register under message loss, network cuts, crashes and a lost disk, over many seeds.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
     return {{"10.0.0.1", 7780}, {"10.0.0.2", 7780}, {"10.0.0.3", 7780}};
 }
 
-// Voter and proposer of one machine, without the rest of the core.
+// Voter, proposer and recovery of one machine, without the other parts of a core machine.
 class RegisterMachine {
 public:
     RegisterMachine(World& world, Network& network, std::size_t index)
@@ -81,7 +81,8 @@
     std::unique_ptr<VoterRecovery> recovery_;
 };
 
-// The register holds a line of letters-and-numbers, each change appends its own to the line it was made on.
+// The register holds a comma-separated line of items. Each change appends its own item to the line that it
+// was based on.
 std::string lastOf(const std::string& line) {
     const std::size_t comma = line.rfind(',', line.empty() ? 0 : line.size() - 2);
     return line.empty() ? "" : line.substr(comma == std::string::npos ? 0 : comma + 1);
@@ -95,9 +96,9 @@
     bool wanted_other_base = false;
 };
 
-class RegisterPlay {
+class RegisterSimulation {
 public:
-    explicit RegisterPlay(std::uint64_t seed) : world(seed), network(world) {
+    explicit RegisterSimulation(std::uint64_t seed) : world(seed), network(world) {
         for (std::size_t index = 0; index < kMachines; ++index) {
             machines[index] = std::make_unique<RegisterMachine>(world, network, index);
             machines[index]->start(true);
@@ -108,7 +109,7 @@
 
     RegisterMachine& any() { return *machines[world.random()() % kMachines]; }
 
-    // Appends on top of the newest line that anybody was told.
+    // Appends to the newest line that any caller has read.
     void append(RegisterMachine& machine, const std::string& item) {
         const std::string base = lastOf(newest);
         const auto refused = std::make_shared<bool>(false);
@@ -124,7 +125,7 @@
         machine.proposer().change(kKey, decide, {},
                                   [this, item, base, refused](const ChangeOutcome& outcome) {
                                       if (!outcome.known) return;
-                                      note(outcome.value);
+                                      recordChosen(outcome.value);
                                       if (*refused)
                                           refusals.push_back(item);
                                       else
@@ -132,21 +133,21 @@
                                   });
     }
 
-    // Every value that was ever chosen stands in one line of descent.
-    void note(const std::string& value) {
+    // Every chosen value must be a prefix of all later ones.
+    void recordChosen(const std::string& value) {
         const std::string& shorter = value.size() < newest.size() ? value : newest;
         const std::string& longer = value.size() < newest.size() ? newest : value;
         const bool descends = longer.compare(0, shorter.size(), shorter) == 0;
-        if (!descends) broken = "not one line: " + newest + " and " + value;
+        if (!descends) violation = "diverging values: " + newest + " and " + value;
         newest = longer;
     }
 
-    void trouble() {
+    void injectFault() {
         const double draw = world.chance();
         RegisterMachine& machine = any();
         if (draw < 0.25) {
             machine.kill();
-            const bool loses_disk = world.chance() < 0.4 && othersVote(machine);
+            const bool loses_disk = world.chance() < 0.4 && othersHaveData(machine);
             if (loses_disk) machine.content.clear();
             const Millis down{static_cast<std::int64_t>(world.chance() * 700)};
             world.at(world.now() + down, [&machine] {
@@ -160,10 +161,10 @@
             network.healAll();
         }
     }
-    // One lost disk at a time is borne: the others must have theirs whole, whether they run or not.
-    bool othersVote(const RegisterMachine& lost) {
+    // One lost disk at a time is tolerated: the other machines must have their data, whether they run or not.
+    bool othersHaveData(const RegisterMachine& lost) {
         return std::all_of(machines.begin(), machines.end(), [&](const auto& machine) {
-            const bool has_data = machine->runs() ? machine->voter().votes() : !machine->content.empty();
+            const bool has_data = machine->runs() ? machine->voter().canVote() : !machine->content.empty();
             return machine.get() == &lost || has_data;
         });
     }
@@ -191,101 +192,102 @@
     Network network;
     std::array<std::unique_ptr<RegisterMachine>, kMachines> machines;
     std::string newest;
-    std::string broken;
+    std::string violation;
     std::vector<std::pair<std::string, std::string>> acknowledged;  // item and base
     std::vector<std::string> refusals;
 };
 
-void playSeed(std::uint64_t seed, std::size_t& changes_taken, std::size_t& recoveries) {
-    RegisterPlay play(seed);
+void runSeed(std::uint64_t seed, std::size_t& acknowledged_changes, std::size_t& recoveries) {
+    RegisterSimulation sim(seed);
     for (int step = 0; step < 60; ++step) {
         const std::string item = "s" + std::to_string(step) + ",";
-        RegisterMachine& machine = play.any();
-        if (machine.runs()) play.append(machine, item);
-        RegisterMachine& other = play.any();
-        if (other.runs() && play.world.chance() < 0.4) play.append(other, "t" + std::to_string(step) + ",");
-        if (play.world.chance() < 0.35) play.trouble();
-        play.world.run(Millis(static_cast<std::int64_t>(play.world.chance() * 400)));
+        RegisterMachine& machine = sim.any();
+        if (machine.runs()) sim.append(machine, item);
+        RegisterMachine& other = sim.any();
+        if (other.runs() && sim.world.chance() < 0.4) sim.append(other, "t" + std::to_string(step) + ",");
+        if (sim.world.chance() < 0.35) sim.injectFault();
+        sim.world.run(Millis(static_cast<std::int64_t>(sim.world.chance() * 400)));
     }
-    play.heal();
+    sim.heal();
     INFO("seed " << seed);
-    for (auto& machine : play.machines) {
-        CHECK(machine->voter().votes());
-        const std::optional<std::string> line = play.readFrom(*machine);
+    for (auto& machine : sim.machines) {
+        CHECK(machine->voter().canVote());
+        const std::optional<std::string> line = sim.readFrom(*machine);
         REQUIRE(line.has_value());
-        play.note(*line);
-        for (const auto& [item, base] : play.acknowledged)
+        sim.recordChosen(*line);
+        for (const auto& [item, base] : sim.acknowledged)
             CHECK_MESSAGE(holds(*line, item), item << " in " << *line);
-        for (const std::string& item : play.refusals)
+        for (const std::string& item : sim.refusals)
             CHECK_MESSAGE(!holds(*line, item), item << " in " << *line);
     }
-    CHECK(play.broken == "");
+    CHECK(sim.violation == "");
     std::set<std::string> bases;
-    for (const auto& [item, base] : play.acknowledged)
-        CHECK_MESSAGE(bases.insert(base).second, "twice on " << base);
-    changes_taken += play.acknowledged.size();
-    for (auto& machine : play.machines) recoveries += machine->voter().startedFirst() ? 0 : 1;
+    for (const auto& [item, base] : sim.acknowledged)
+        CHECK_MESSAGE(bases.insert(base).second, "two acknowledged changes based on " << base);
+    acknowledged_changes += sim.acknowledged.size();
+    for (auto& machine : sim.machines) recoveries += machine->voter().isFirstStart() ? 0 : 1;
 }
 
 }  // namespace
 
-TEST_CASE("no acknowledged change is lost and no base is used twice, over 300 seeds of trouble") {
-    std::size_t changes_taken = 0;
+TEST_CASE("no acknowledged change is lost and no base is used twice, over 300 seeds with faults") {
+    std::size_t acknowledged_changes = 0;
     std::size_t restarted = 0;
-    for (std::uint64_t seed = 1; seed <= 300; ++seed) playSeed(seed, changes_taken, restarted);
-    CHECK(changes_taken > 3000);
+    for (std::uint64_t seed = 1; seed <= 300; ++seed) runSeed(seed, acknowledged_changes, restarted);
+    CHECK(acknowledged_changes > 3000);
     CHECK(restarted > 300);
 }
 
 TEST_CASE("a voter without its data gives no vote until it has recovered") {
-    RegisterPlay play(7);
-    play.network.loss = 0;
-    play.append(*play.machines[0], "a,");
-    play.world.run(Millis(500));
-    REQUIRE(play.newest == "a,");
-    RegisterMachine& lost = *play.machines[2];
+    RegisterSimulation sim(7);
+    sim.network.loss = 0;
+    sim.append(*sim.machines[0], "a,");
+    sim.world.run(Millis(500));
+    REQUIRE(sim.newest == "a,");
+    RegisterMachine& lost = *sim.machines[2];
     lost.kill();
     lost.content.clear();
-    play.network.isolate(lost.ip());
+    sim.network.isolate(lost.ip());
     lost.start(false);
-    play.world.run(Millis(2000));
-    CHECK_FALSE(lost.voter().votes());
+    sim.world.run(Millis(2000));
+    CHECK_FALSE(lost.voter().canVote());
     PrepareReply answer;
     answer.voter = true;
     lost.voter().prepare({kKey, {1000, "x"}}, [&](PrepareReply reply) { answer = std::move(reply); });
     CHECK_FALSE(answer.voter);
     CHECK_FALSE(answer.promised);
-    play.network.healAll();
-    play.world.run(Millis(3000));
-    CHECK(lost.voter().votes());
+    sim.network.healAll();
+    sim.world.run(Millis(3000));
+    CHECK(lost.voter().canVote());
 }
 
 TEST_CASE("a proposal prepared before a disk was lost cannot be chosen beside a newer one") {
-    // Machine 2 promises a ballot, loses its disk and recovers; the old proposer goes on with the promise.
-    RegisterPlay play(11);
-    play.network.loss = 0;
-    RegisterVoter& first = play.machines[0]->voter();
-    play.world.run(Millis(50));
+    // Machine 2 promises a ballot, loses its disk and recovers; the old proposer continues with the forgotten
+    // promise.
+    RegisterSimulation sim(11);
+    sim.network.loss = 0;
+    RegisterVoter& first = sim.machines[0]->voter();
+    sim.world.run(Millis(50));
     const Ballot old_ballot{9, "old"};
-    play.machines[2]->voter().prepare({kKey, old_ballot}, [](const PrepareReply&) {});
-    play.world.run(Millis(50));
-    RegisterMachine& lost = *play.machines[2];
+    sim.machines[2]->voter().prepare({kKey, old_ballot}, [](const PrepareReply&) {});
+    sim.world.run(Millis(50));
+    RegisterMachine& lost = *sim.machines[2];
     lost.kill();
     lost.content.clear();
     lost.start(false);
-    play.world.run(Millis(3000));
-    REQUIRE(lost.voter().votes());
-    // The old proposer's late prepare and accept now reach the others.
+    sim.world.run(Millis(3000));
+    REQUIRE(lost.voter().canVote());
+    // The delayed prepare and accept of the old proposer now reach the others.
     PrepareReply prepared;
     first.prepare({kKey, old_ballot}, [&](PrepareReply reply) { prepared = std::move(reply); });
     AcceptReply accepted;
     lost.voter().accept({kKey, old_ballot, "old,"}, [&](AcceptReply reply) { accepted = std::move(reply); });
-    play.world.run(Millis(50));
+    sim.world.run(Millis(50));
     CHECK_FALSE(prepared.promised);
     CHECK_FALSE(accepted.accepted);
 }
 
-TEST_CASE("a voter whose disk fails answers as no voter") {
+TEST_CASE("a voter whose disk fails does not answer as a voter") {
     World world(1);
     SimulatedScheduler scheduler(world);
     DiskContent content;
@@ -298,10 +300,10 @@
     world.run(Millis(10));
     REQUIRE(answer.has_value());
     CHECK_FALSE(answer->voter);
-    CHECK_FALSE(voter.votes());
+    CHECK_FALSE(voter.canVote());
 }
 
-TEST_CASE("a voter whose disk works again votes again, and holds to what it promised meanwhile") {
+TEST_CASE("a voter whose disk works again votes again, and keeps the promises it made meanwhile") {
     World world(1);
     SimulatedScheduler scheduler(world);
     DiskContent content;
@@ -319,12 +321,12 @@
     CHECK_FALSE(voter.hasData());
     disk.fails = false;
     world.run(Millis(300));
-    CHECK(voter.votes());
+    CHECK(voter.canVote());
     std::optional<AcceptReply> older;
     voter.accept({kKey, {6, "x"}, "older"}, [&](AcceptReply reply) { older = reply; });
     CHECK(older->voter);
     CHECK_FALSE(older->accepted);
-    // The promise that nobody was told of is on the disk by now.
+    // The promise that was never reported to a proposer is on the disk by now.
     FakeDisk later_disk(scheduler, content);
     RegisterVoter later(later_disk, addresses()[0], {}, false);
     std::optional<PrepareReply> answer;
@@ -343,13 +345,13 @@
         if (healthy) voter.onDiskHealthy();
     });
     world.run(Millis(2000));
-    CHECK_FALSE(voter.votes());
+    CHECK_FALSE(voter.canVote());
     disk.fails = false;
     world.run(Millis(300));
-    CHECK(voter.votes());
+    CHECK(voter.canVote());
 }
 
-TEST_CASE("a voter that can't read its disk recovers, even where the settings say first start") {
+TEST_CASE("a voter that can't read its disk recovers, even if the settings say bootstrap") {
     World world(1);
     SimulatedScheduler scheduler(world);
     DiskContent content;
@@ -357,7 +359,7 @@
         FakeDisk disk(scheduler, content);
         RegisterVoter voter(disk, addresses()[0], addresses(), true);
         world.run(Millis(10));
-        REQUIRE(voter.votes());
+        REQUIRE(voter.canVote());
     }
     const DiskContent whole = content;
     for (auto& [key, value] : content) value = "not readable";
@@ -365,27 +367,28 @@
     RegisterVoter voter(damaged, addresses()[0], addresses(), true);
     world.run(Millis(10));
     CHECK(voter.needsRecovery());
-    CHECK_FALSE(voter.votes());
+    CHECK_FALSE(voter.canVote());
     content = whole;
     FakeDisk lacking(scheduler, content);
     lacking.lacks_records = true;
     RegisterVoter doubting(lacking, addresses()[0], addresses(), true);
     world.run(Millis(10));
     CHECK(doubting.needsRecovery());
-    CHECK_FALSE(doubting.votes());
+    CHECK_FALSE(doubting.canVote());
 }
 
-TEST_CASE("a voter answers only after its sync, and keeps promise and value over a restart") {
+TEST_CASE("a voter answers only after its sync, and keeps promise and value across a restart") {
     World world(1);
     SimulatedScheduler scheduler(world);
     DiskContent content;
     {
         FakeDisk disk(scheduler, content);
         RegisterVoter voter(disk, addresses()[0], addresses(), true);
-        // Not before its voter set is durable: without it, a restart would be a second first start.
-        CHECK_FALSE(voter.votes());
+        // The voter must not vote before its voter set is durable: without it, a restart would be a second
+        // first start.
+        CHECK_FALSE(voter.canVote());
         world.run(Millis(10));
-        CHECK(voter.votes());
+        CHECK(voter.canVote());
         std::optional<AcceptReply> answer;
         voter.accept({kKey, {4, "x"}, "value"}, [&](AcceptReply reply) { answer = reply; });
         CHECK_FALSE(answer.has_value());
@@ -395,7 +398,7 @@
     }
     FakeDisk disk(scheduler, content);
     RegisterVoter voter(disk, addresses()[0], {}, false);
-    CHECK(voter.votes());
+    CHECK(voter.canVote());
     CHECK(voter.voters() == addresses());
     std::optional<PrepareReply> answer;
     voter.prepare({kKey, {4, "x"}}, [&](PrepareReply reply) { answer = std::move(reply); });
@@ -409,22 +412,22 @@
 }
 
 TEST_CASE("without a majority a change ends as unknown in time, and nothing is chosen") {
-    RegisterPlay play(3);
-    play.network.loss = 0;
-    play.network.isolate("10.0.0.1");
+    RegisterSimulation sim(3);
+    sim.network.loss = 0;
+    sim.network.isolate("10.0.0.1");
     std::optional<ChangeOutcome> outcome;
-    const SteadyTime begun = play.world.now();
+    const SteadyTime begun = sim.world.now();
     SteadyTime ended;
-    play.machines[0]->proposer().change(
+    sim.machines[0]->proposer().change(
         kKey, [](const std::string&) { return Decision::replaceBy("a,"); }, {.timeout = Millis(1500)},
         [&](ChangeOutcome result) {
             outcome = std::move(result);
-            ended = play.world.now();
+            ended = sim.world.now();
         });
-    play.world.run(Millis(3000));
+    sim.world.run(Millis(3000));
     REQUIRE(outcome.has_value());
     CHECK_FALSE(outcome->known);
     CHECK(ended - begun <= Millis(1500));
-    play.network.healAll();
-    CHECK(play.readFrom(*play.machines[1]) == std::string());
+    sim.network.healAll();
+    CHECK(sim.readFrom(*sim.machines[1]) == std::string());
 }
--- a/tests/cluster/control_voters_exchange_test.cpp
+++ b/tests/cluster/control_voters_exchange_test.cpp
@@ -1,5 +1,6 @@
-// Exchanges of voters that don't go the plain way: a removed one comes back, the new one dies, the silent one
-// was only cut off, the end was planned, two are exchanged at once, all are restarted in turn.
+// Replacements of voters that do not complete in the simplest way: the removed voter comes back, the new
+// machine fails, the lost voter was only cut off, the replacement was planned, two voters are replaced at
+// once, or all are restarted in turn.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -10,210 +11,213 @@
 
 namespace {
 
-constexpr Millis kNoVote{1500};  // of a machine that has just started, in an election
+constexpr Millis kNoVoteAfterStart{1500};  // a machine that has just started grants no vote for this long
 
-// All machines that run vote within `within`; then, from `moment` on, the loss of any one of them is borne.
-void checkBearsLoss(LossWorld& play, Millis within, SteadyTime moment, std::size_t number) {
-    CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, within));
-    play.runTo(moment);
-    CoreMachine& victim = play.drawOther();
-    play.lose(victim, kLosses[number % kLosses.size()]);
-    play.checkService(&victim);
+// All running machines vote within `within`; from `moment` on, the loss of any one of them is tolerated.
+void checkSurvivesLoss(LossWorld& sim, Millis within, SteadyTime moment, std::size_t number) {
+    CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, within));
+    sim.runUntilTime(moment);
+    CoreMachine& victim = sim.randomRunning();
+    sim.injectLoss(victim, kLosses[number % kLosses.size()]);
+    sim.checkService(&victim);
 }
 
-// The newest voters that a machine which runs knows.
-std::size_t votersLeft(LossWorld& play) {
-    std::size_t fewest = play.core.size();
-    for (const auto& machine : play.core) {
-        if (machine->runs()) fewest = std::min(fewest, countOf(votersOf(*machine)));
+// The smallest number of voters in any voter set known to a running machine.
+std::size_t fewestKnownVoters(LossWorld& sim) {
+    std::size_t fewest = sim.core.size();
+    for (const auto& machine : sim.core) {
+        if (machine->runs()) fewest = std::min(fewest, countVoters(votersOf(*machine)));
     }
     return fewest;
 }
 
 }  // namespace
 
-TEST_CASE("the lost machine comes back with its disk at any moment of its exchange") {
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(20000 + number);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        CoreMachine& lost = number % 2 == 0 ? *play.leader() : play.follower();
-        CoreMachine& added = play.replaceLost(lost);
-        play.world.runUntil([&] { return LossWorld::hasRecovered(added) && play.leader() != nullptr; },
-                            Millis(6000));
-        play.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
+TEST_CASE("the lost machine comes back with its disk at any moment of its replacement") {
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(20000 + number);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        CoreMachine& lost = number % 2 == 0 ? *sim.leader() : sim.follower();
+        CoreMachine& added = sim.replaceLost(lost);
+        sim.world.runUntil([&] { return LossWorld::hasRecovered(added) && sim.leader() != nullptr; },
+                           Millis(6000));
+        sim.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
         lost.start();
-        // The new machine may be lost for good at that moment or right after it.
+        // The new machine may be lost permanently at that moment or shortly after.
         const bool new_one_dies = number / 2 % 3 != 0;
-        if (new_one_dies) play.world.run(play.draw(100));
+        if (new_one_dies) sim.world.run(sim.randomSpan(100));
         if (new_one_dies) added.kill();
-        checkBearsLoss(play, kCatchUp, play.world.now() + kCatchUp, number / 6);
+        checkSurvivesLoss(sim, kReturnGrace, sim.world.now() + kReturnGrace, number / 6);
     }
 }
 
-TEST_CASE("the new machine dies right after the lost one was removed, which is taken up again") {
+TEST_CASE("the new machine fails right after the lost one was removed, and the replacement is resumed") {
     std::size_t removed = 0;
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(30000 + number);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        CoreMachine& lost = number % 2 == 0 ? *play.leader() : play.follower();
-        CoreMachine& added = play.replaceLost(lost);
-        removed += play.world.runUntil([&] { return votersLeft(play) == 2; }, Millis(5000)) ? 1 : 0;
-        play.world.run(Millis(static_cast<std::int64_t>(number / 2 % 20)));
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(30000 + number);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        CoreMachine& lost = number % 2 == 0 ? *sim.leader() : sim.follower();
+        CoreMachine& added = sim.replaceLost(lost);
+        removed += sim.world.runUntil([&] { return fewestKnownVoters(sim) == 2; }, Millis(5000)) ? 1 : 0;
+        sim.world.run(Millis(static_cast<std::int64_t>(number / 2 % 20)));
         added.kill();
-        CHECK(play.order(kOrderWithin));
-        play.world.run(play.draw(3000));
-        // Either it or yet another machine.
+        CHECK(sim.makeChange(kChangeTimeout));
+        sim.world.run(sim.randomSpan(3000));
+        // Either the lost machine returns, or another empty one is added.
         if (number / 2 % 2 == 0)
             lost.start();
         else
-            play.addEmpty();
-        checkBearsLoss(play, kCatchUp, play.world.now() + kCatchUp, number / 4);
+            sim.addEmptyMachine();
+        checkSurvivesLoss(sim, kReturnGrace, sim.world.now() + kReturnGrace, number / 4);
     }
-    // Where the new one was ready before the lost one counted as absent, it came first.
-    CHECK(removed > playCount(40) / 2);
+    // In the other runs the new machine was ready, and therefore added, before the lost one counted as
+    // absent.
+    CHECK(removed > runCount(40) / 2);
 }
 
-TEST_CASE("a voter that was only cut off while another machine stood by comes back as one more") {
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(40000 + number);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        CoreMachine& cut_off = number % 2 == 0 ? *play.leader() : play.follower();
-        play.network.isolate(cut_off.ip());
-        play.world.run(play.draw(1200));
-        play.addEmpty();
-        play.world.run(Millis(1000) + play.draw(2000));
-        CHECK(play.order(kOrderWithin));
-        play.network.healAll();
-        checkBearsLoss(play, kCatchUp, play.world.now() + kCatchUp, number / 2);
-        CHECK(play.core.size() == 4);
+TEST_CASE("a voter that was only cut off while another machine was ready comes back as an additional voter") {
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(40000 + number);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        CoreMachine& cut_off = number % 2 == 0 ? *sim.leader() : sim.follower();
+        sim.network.isolate(cut_off.ip());
+        sim.world.run(sim.randomSpan(1200));
+        sim.addEmptyMachine();
+        sim.world.run(Millis(1000) + sim.randomSpan(2000));
+        CHECK(sim.makeChange(kChangeTimeout));
+        sim.network.healAll();
+        checkSurvivesLoss(sim, kReturnGrace, sim.world.now() + kReturnGrace, number / 2);
+        CHECK(sim.core.size() == 4);
     }
 }
 
-TEST_CASE("a planned replacement is whole 1.5 s after the old machine's end") {
+TEST_CASE("a planned replacement restores redundancy 1.5 s after the old machine stops") {
     Durations replaced;
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(50000 + number);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        CoreMachine& old = number % 2 == 0 ? *play.leader() : play.follower();
-        play.addEmpty();
-        const SteadyTime started = play.world.now();
-        // It may be a voter by then, or only about to recover.
-        play.world.run(play.draw(1200));
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(50000 + number);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        CoreMachine& old = number % 2 == 0 ? *sim.leader() : sim.follower();
+        sim.addEmptyMachine();
+        const SteadyTime started = sim.world.now();
+        // The new machine may be a voter by then, or still be recovering.
+        sim.world.run(sim.randomSpan(1200));
         const auto left = std::make_shared<bool>(false);
         old.node().leave([left] { *left = true; });
-        REQUIRE(play.world.runUntil([&] { return *left; }, Millis(1000)));
+        REQUIRE(sim.world.runUntil([&] { return *left; }, Millis(1000)));
         old.kill();
-        const SteadyTime ended = play.world.now();
-        // A machine gives no vote for a leader until 1.5 s after its start.
-        const SteadyTime whole = std::max(ended, started + kNoVote) + kWhole;
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); },
-                                  Millis(millisBetween(ended, whole))));
-        replaced.add(millisBetween(ended, play.world.now()));
-        checkBearsLoss(play, Millis(1), whole, number / 2);
+        const SteadyTime ended = sim.world.now();
+        // A machine grants no vote to a leader until 1.5 s after its start.
+        const SteadyTime redundant = std::max(ended, started + kNoVoteAfterStart) + kRedundancyRestored;
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); },
+                                 Millis(millisBetween(ended, redundant))));
+        replaced.add(millisBetween(ended, sim.world.now()));
+        checkSurvivesLoss(sim, Millis(1), redundant, number / 2);
     }
-    MESSAGE("from the old one's end to replaced: " << replaced.text());
+    MESSAGE("from the stop of the old machine to the end of the replacement: " << replaced.text());
 }
 
-TEST_CASE("two of five are lost and replaced at once, and two more losses are borne 1.5 s later") {
+TEST_CASE("two of five are lost and replaced at once, and two more losses are tolerated 1.5 s later") {
     Durations replaced;
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(60000 + number, 5);
-        for (auto& machine : play.core) machine->settings().tolerance.machines = 2;
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        REQUIRE(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(4000)));
-        CoreMachine& first = number % 2 == 0 ? *play.leader() : play.follower();
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(60000 + number, 5);
+        for (auto& machine : sim.core) machine->settings().tolerance.machines = 2;
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        REQUIRE(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(4000)));
+        CoreMachine& first = number % 2 == 0 ? *sim.leader() : sim.follower();
         first.kill();
-        play.drawOther().kill();
-        play.world.run(Millis(1000));
-        CoreMachine& one = play.addEmpty();
-        play.world.run(play.draw(300));
-        CoreMachine& other = play.addEmpty();
-        REQUIRE(play.world.runUntil(
+        sim.randomRunning().kill();
+        sim.world.run(Millis(1000));
+        CoreMachine& one = sim.addEmptyMachine();
+        sim.world.run(sim.randomSpan(300));
+        CoreMachine& other = sim.addEmptyMachine();
+        REQUIRE(sim.world.runUntil(
             [&] { return LossWorld::hasRecovered(one) && LossWorld::hasRecovered(other); }, Millis(4000)));
-        const SteadyTime recovered = play.world.now();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, kWhole));
-        replaced.add(millisBetween(recovered, play.world.now()));
-        play.runTo(recovered + kWhole);
-        CoreMachine& victim = play.drawOther();
-        play.lose(victim, kLosses[number / 2 % kLosses.size()]);
-        play.drawOther(&victim).kill();
-        play.checkService(&victim);
+        const SteadyTime recovered = sim.world.now();
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestored));
+        replaced.add(millisBetween(recovered, sim.world.now()));
+        sim.runUntilTime(recovered + kRedundancyRestored);
+        CoreMachine& victim = sim.randomRunning();
+        sim.injectLoss(victim, kLosses[number / 2 % kLosses.size()]);
+        sim.randomRunning(&victim).kill();
+        sim.checkService(&victim);
     }
-    MESSAGE("from recovered to replaced: " << replaced.text());
+    MESSAGE("from recovery of the new machine to the end of the replacement: " << replaced.text());
 }
 
-TEST_CASE("of five, the driver is lost for good at any step of an exchange, and a third loss is borne") {
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(90000 + number, 5);
-        for (auto& machine : play.core) machine->settings().tolerance.machines = 2;
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        REQUIRE(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(4000)));
-        CoreMachine& added = play.replaceLost(number % 2 == 0 ? *play.leader() : play.follower());
-        play.world.runUntil([&] { return LossWorld::hasRecovered(added) && play.leader() != nullptr; },
-                            Millis(6000));
-        play.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
-        REQUIRE(play.leader() != nullptr);
-        play.leader()->kill();
-        CHECK(play.order(kOrderWithin));
-        // Five again: the driver, for whom nobody came, and the four that run.
+TEST_CASE(
+    "of five, the leader is lost for good at any step of a replacement, and a third loss is tolerated") {
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(90000 + number, 5);
+        for (auto& machine : sim.core) machine->settings().tolerance.machines = 2;
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        REQUIRE(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(4000)));
+        CoreMachine& added = sim.replaceLost(number % 2 == 0 ? *sim.leader() : sim.follower());
+        sim.world.runUntil([&] { return LossWorld::hasRecovered(added) && sim.leader() != nullptr; },
+                           Millis(6000));
+        sim.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
+        REQUIRE(sim.leader() != nullptr);
+        sim.leader()->kill();
+        CHECK(sim.makeChange(kChangeTimeout));
+        // The set has five voters again: the lost leader, which was not replaced, and the four running
+        // machines.
         const auto all_vote = [&] {
-            return std::all_of(play.core.begin(), play.core.end(), [](const auto& machine) {
-                return !machine->runs() || (machine->votes() && countOf(votersOf(*machine)) == 5);
+            return std::all_of(sim.core.begin(), sim.core.end(), [](const auto& machine) {
+                return !machine->runs() || (machine->votes() && countVoters(votersOf(*machine)) == 5);
             });
         };
-        CHECK(play.world.runUntil(all_vote, kCatchUp));
-        CoreMachine& victim = play.drawOther();
-        play.lose(victim, kLosses[number / 2 % kLosses.size()]);
-        play.checkService(&victim);
+        CHECK(sim.world.runUntil(all_vote, kReturnGrace));
+        CoreMachine& victim = sim.randomRunning();
+        sim.injectLoss(victim, kLosses[number / 2 % kLosses.size()]);
+        sim.checkService(&victim);
     }
 }
 
-TEST_CASE("a machine that lost its disk bears the next loss 1.5 s after it has recovered") {
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(70000 + number);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        CoreMachine& repaired = number % 2 == 0 ? *play.leader() : play.follower();
+TEST_CASE("the next loss is tolerated 1.5 s after a machine that lost its disk has recovered") {
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(70000 + number);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        CoreMachine& repaired = number % 2 == 0 ? *sim.leader() : sim.follower();
         repaired.kill();
         repaired.wipe();
-        play.world.run(Millis(100) + play.draw(4000));
+        sim.world.run(Millis(100) + sim.randomSpan(4000));
         repaired.start();
-        REQUIRE(play.world.runUntil([&] { return LossWorld::hasRecovered(repaired); }, Millis(4000)));
-        checkBearsLoss(play, kWhole, play.world.now() + kWhole, number / 2);
+        REQUIRE(sim.world.runUntil([&] { return LossWorld::hasRecovered(repaired); }, Millis(4000)));
+        checkSurvivesLoss(sim, kRedundancyRestored, sim.world.now() + kRedundancyRestored, number / 2);
     }
 }
 
-TEST_CASE("machines that are stopped and started in turn stay the voters, and the next loss is borne") {
-    for (std::size_t number = 0; number < playCount(40); ++number) {
-        INFO("play " << number);
-        LossWorld play(80000 + number, number % 2 == 0 ? 3 : 5);
-        play.network.jitter = kJitters[number % kJitters.size()];
-        play.begin();
-        REQUIRE(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(4000)));
-        for (auto& machine : play.core) {
+TEST_CASE("machines restarted in turn remain the voters, and the next loss is tolerated") {
+    for (std::size_t number = 0; number < runCount(40); ++number) {
+        INFO("run " << number);
+        LossWorld sim(80000 + number, number % 2 == 0 ? 3 : 5);
+        sim.network.jitter = kJitters[number % kJitters.size()];
+        sim.begin();
+        REQUIRE(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(4000)));
+        for (auto& machine : sim.core) {
             const auto left = std::make_shared<bool>(false);
             machine->node().leave([left] { *left = true; });
-            REQUIRE(play.world.runUntil([&] { return *left; }, Millis(1000)));
+            REQUIRE(sim.world.runUntil([&] { return *left; }, Millis(1000)));
             machine->kill();
-            play.world.run(Millis(300) + play.draw(2500));
-            CHECK(play.order(kOrderWithin));
+            sim.world.run(Millis(300) + sim.randomSpan(2500));
+            CHECK(sim.makeChange(kChangeTimeout));
             machine->start();
-            play.world.run(kCatchUp);
-            CHECK(play.runningMachinesVote());
+            sim.world.run(kReturnGrace);
+            CHECK(sim.runningMachinesVote());
         }
-        checkBearsLoss(play, Millis(1), play.world.now(), number / 2);
+        checkSurvivesLoss(sim, Millis(1), sim.world.now(), number / 2);
     }
 }
--- a/tests/cluster/control_voters_loss_test.cpp
+++ b/tests/cluster/control_voters_loss_test.cpp
@@ -1,5 +1,6 @@
-// A second loss after a core machine was lost for good and replaced, at many moments: orders are taken again
-// and nothing acknowledged is lost. AMBERSWITCH_VOTER_PLAYS sets the number of plays of each kind.
+// A second loss after a core machine was lost for good and replaced, at many moments: configuration changes
+// are accepted again and nothing acknowledged is lost. AMBERSWITCH_VOTER_PLAYS sets the number of runs of
+// each kind.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -8,63 +9,65 @@
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
 
-TEST_CASE("a second loss is borne 1.5 s after the successor of the first one has recovered") {
+TEST_CASE("a second loss is tolerated 1.5 s after the replacement of the first one has recovered") {
     Durations replaced;
-    for (std::size_t number = 0; number < playCount(160); ++number) {
-        INFO("play " << number);
-        LossWorld play(1000 + number);
-        play.network.jitter = kJitters[number / 24 % kJitters.size()];
-        play.begin();
+    for (std::size_t number = 0; number < runCount(160); ++number) {
+        INFO("run " << number);
+        LossWorld sim(1000 + number);
+        sim.network.jitter = kJitters[number / 24 % kJitters.size()];
+        sim.begin();
         const bool leader_first = number % 2 == 0;
         const Loss loss = kLosses[number / 2 % kLosses.size()];
-        CoreMachine& added = play.replaceLost(leader_first ? *play.leader() : play.follower());
-        const SteadyTime started = play.world.now();
-        REQUIRE(play.world.runUntil([&] { return LossWorld::hasRecovered(added); }, Millis(4000)));
-        const SteadyTime recovered = play.world.now();
-        const bool whole = play.world.runUntil([&] { return play.runningMachinesVote(); }, kWhole);
-        CHECK(whole);
-        if (whole) replaced.add(millisBetween(recovered, play.world.now()));
-        // At the earliest moment, some time later, or at the end of the time that the new machine has.
-        SteadyTime second = recovered + kWhole;
-        if (number / 8 % 3 == 1) second += play.draw(1500);
-        if (number / 8 % 3 == 2) second = started + kCatchUp;
-        play.runTo(second);
-        CoreMachine& victim = play.drawOther();
-        play.lose(victim, loss);
-        play.checkService(&victim);
+        CoreMachine& added = sim.replaceLost(leader_first ? *sim.leader() : sim.follower());
+        const SteadyTime started = sim.world.now();
+        REQUIRE(sim.world.runUntil([&] { return LossWorld::hasRecovered(added); }, Millis(4000)));
+        const SteadyTime recovered = sim.world.now();
+        const bool redundant =
+            sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestored);
+        CHECK(redundant);
+        if (redundant) replaced.add(millisBetween(recovered, sim.world.now()));
+        // At the earliest allowed moment, some time later, or at the end of the grace period of the new
+        // machine.
+        SteadyTime second = recovered + kRedundancyRestored;
+        if (number / 8 % 3 == 1) second += sim.randomSpan(1500);
+        if (number / 8 % 3 == 2) second = started + kReturnGrace;
+        sim.runUntilTime(second);
+        CoreMachine& victim = sim.randomRunning();
+        sim.injectLoss(victim, loss);
+        sim.checkService(&victim);
     }
-    MESSAGE("from recovered to replaced: " << replaced.text());
+    MESSAGE("from recovery of the new machine to the end of the replacement: " << replaced.text());
 }
 
-TEST_CASE("the loss of the driver at any step of the exchange of voters delays it only") {
-    Durations whole_after;
-    for (std::size_t number = 0; number < playCount(160); ++number) {
-        INFO("play " << number);
-        LossWorld play(5000 + number);
-        play.network.jitter = kJitters[number / 24 % kJitters.size()];
-        play.begin();
-        CoreMachine& added = play.replaceLost(number % 2 == 0 ? *play.leader() : play.follower());
-        play.world.runUntil([&] { return LossWorld::hasRecovered(added) && play.leader() != nullptr; },
-                            Millis(6000));
-        // The exchange takes some 100 ms from here, or from the next look of the leader.
-        play.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
-        CoreMachine* driver = play.leader();
+TEST_CASE("the loss of the leader at any step of a voter replacement only delays the replacement") {
+    Durations restored_after;
+    for (std::size_t number = 0; number < runCount(160); ++number) {
+        INFO("run " << number);
+        LossWorld sim(5000 + number);
+        sim.network.jitter = kJitters[number / 24 % kJitters.size()];
+        sim.begin();
+        CoreMachine& added = sim.replaceLost(number % 2 == 0 ? *sim.leader() : sim.follower());
+        sim.world.runUntil([&] { return LossWorld::hasRecovered(added) && sim.leader() != nullptr; },
+                           Millis(6000));
+        // The replacement takes about 100 ms from here, or from the next evaluation by the leader.
+        sim.world.run(Millis(static_cast<std::int64_t>(number / 2 % 240)));
+        CoreMachine* driver = sim.leader();
         REQUIRE(driver != nullptr);
-        const Millis away = Millis(300) + play.draw(2500);
+        const Millis away = Millis(300) + sim.randomSpan(2500);
         const std::size_t kind = number / 4 % 3;
         if (kind == 0) driver->kill();
-        if (kind == 1) play.network.isolate(driver->ip());
+        if (kind == 1) sim.network.isolate(driver->ip());
         if (kind == 2) driver->freeze(away);
-        play.world.run(away);
+        sim.world.run(away);
         if (kind == 0) driver->start();
-        play.network.healAll();
-        const SteadyTime returned = play.world.now();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, kCatchUp));
-        whole_after.add(millisBetween(returned, play.world.now()));
-        play.runTo(returned + kCatchUp);
-        CoreMachine& victim = play.drawOther();
-        play.lose(victim, kLosses[number / 12 % kLosses.size()]);
-        play.checkService(&victim);
+        sim.network.healAll();
+        const SteadyTime returned = sim.world.now();
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kReturnGrace));
+        restored_after.add(millisBetween(returned, sim.world.now()));
+        sim.runUntilTime(returned + kReturnGrace);
+        CoreMachine& victim = sim.randomRunning();
+        sim.injectLoss(victim, kLosses[number / 12 % kLosses.size()]);
+        sim.checkService(&victim);
     }
-    MESSAGE("from the driver's return to replaced: " << whole_after.text());
+    MESSAGE("from the return of the leader to the end of the replacement: " << restored_after.text());
 }
--- a/tests/cluster/control_voters_test.cpp
+++ b/tests/cluster/control_voters_test.cpp
@@ -1,5 +1,5 @@
-// Core machines that are replaced or added: they become voters, lost ones are voters no more, and the
-// dispatchers follow.
+// Replacement and addition of core machines: new machines become voters, lost ones are removed from the voter
+// set, and the edges and stores follow.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -19,130 +19,131 @@
 
 }  // namespace
 
-TEST_CASE("a lost core machine is replaced in time, and a second loss is borne") {
+TEST_CASE("a lost core machine is replaced in time, and a second loss is tolerated") {
     SteadyTime::duration longest{};
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         INFO("seed " << seed);
-        VotersWorld play(seed);
-        play.startAll();
-        play.world.run(Millis(4000));
-        play.checkChange(1);
-        play.core[seed % 3]->kill();
-        play.world.run(Millis(1000));
-        play.addEmpty();
-        const SteadyTime began = play.world.now();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(2000)));
-        longest = std::max(longest, play.world.now() - began);
-        play.checkChange(2);
-        play.core[(seed + 1) % 3]->kill();
-        play.world.run(Millis(3000));
-        play.checkChange(3);
+        VotersWorld sim(seed);
+        sim.startAll();
+        sim.world.run(Millis(4000));
+        sim.checkChange(1);
+        sim.core[seed % 3]->kill();
+        sim.world.run(Millis(1000));
+        sim.addEmptyMachine();
+        const SteadyTime began = sim.world.now();
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(2000)));
+        longest = std::max(longest, sim.world.now() - began);
+        sim.checkChange(2);
+        sim.core[(seed + 1) % 3]->kill();
+        sim.world.run(Millis(3000));
+        sim.checkChange(3);
     }
-    MESSAGE("at most " << std::chrono::duration_cast<Millis>(longest).count() << " ms after its start");
+    MESSAGE("replaced at most " << std::chrono::duration_cast<Millis>(longest).count()
+                                << " ms after the start of the new machine");
 }
 
-TEST_CASE("a planned replacement: the new machine comes first") {
+TEST_CASE("a planned replacement: the new machine starts before the old one leaves") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         INFO("seed " << seed);
-        VotersWorld play(seed);
-        play.startAll();
-        play.world.run(Millis(4000));
-        play.checkChange(1);
-        play.addEmpty();
-        play.world.run(Millis(1500));
-        CoreMachine& old = *play.core[seed % 3];
+        VotersWorld sim(seed);
+        sim.startAll();
+        sim.world.run(Millis(4000));
+        sim.checkChange(1);
+        sim.addEmptyMachine();
+        sim.world.run(Millis(1500));
+        CoreMachine& old = *sim.core[seed % 3];
         bool left = false;
         old.node().leave([&] { left = true; });
-        REQUIRE(play.world.runUntil([&] { return left; }, Millis(1000)));
+        REQUIRE(sim.world.runUntil([&] { return left; }, Millis(1000)));
         old.kill();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(7500)));
-        play.checkChange(2);
-        play.core[(seed + 1) % 3]->kill();
-        play.world.run(Millis(3000));
-        play.checkChange(3);
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(7500)));
+        sim.checkChange(2);
+        sim.core[(seed + 1) % 3]->kill();
+        sim.world.run(Millis(3000));
+        sim.checkChange(3);
     }
 }
 
-TEST_CASE("all machines of the first start are replaced in turn, and the dispatchers still follow") {
+TEST_CASE("all initial machines are replaced in turn, and the clients still follow") {
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
-        VotersWorld play(seed);
-        play.startAll();
-        play.world.run(Millis(4000));
+        VotersWorld sim(seed);
+        sim.startAll();
+        sim.world.run(Millis(4000));
         for (std::size_t index = 0; index < 3; ++index) {
-            play.checkChange(static_cast<std::int64_t>(index) + 1);
-            play.core[index]->kill();
-            play.world.run(Millis(1000));
-            play.addEmpty();
-            CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(8000)));
-            play.world.run(Millis(1000));
+            sim.checkChange(static_cast<std::int64_t>(index) + 1);
+            sim.core[index]->kill();
+            sim.world.run(Millis(1000));
+            sim.addEmptyMachine();
+            CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(8000)));
+            sim.world.run(Millis(1000));
         }
-        // The seeds of the dispatchers are all gone by now.
-        play.checkChange(4);
-        // They still ask their old seeds now and then, and only rarely.
+        // None of the clients' seeds exists any more.
+        sim.checkChange(4);
+        // Clients still contact their old seeds occasionally, but rarely.
         std::size_t asked_in_vain = 0;
-        MemoryTransport dead(play.world, play.network, address(1));
+        MemoryTransport dead(sim.world, sim.network, address(1));
         dead.serve([&](const Envelope&, const Responder&) { ++asked_in_vain; });
-        play.world.run(Millis(12000));
+        sim.world.run(Millis(12000));
         CHECK(asked_in_vain > 0);
         CHECK(asked_in_vain < 10);
-        // A whole-core kill: the new voters come back with their disks and know each other.
-        for (std::size_t index = 3; index < 6; ++index) play.core[index]->kill();
-        play.world.run(Millis(800));
-        for (std::size_t index = 3; index < 6; ++index) play.core[index]->start();
-        play.world.run(Millis(4000));
-        CHECK(play.read(*play.core[4]).body == configurationJson(4));
-        CHECK(play.replace(*play.core[5], 4, configurationJson(5)) == 200);
+        // All core machines are killed: the new voters restart with their disks and know each other.
+        for (std::size_t index = 3; index < 6; ++index) sim.core[index]->kill();
+        sim.world.run(Millis(800));
+        for (std::size_t index = 3; index < 6; ++index) sim.core[index]->start();
+        sim.world.run(Millis(4000));
+        CHECK(sim.read(*sim.core[4]).body == configurationJson(4));
+        CHECK(sim.replace(*sim.core[5], 4, configurationJson(5)) == 200);
     }
 }
 
-TEST_CASE("five core machines with three seeds: all become voters, and two losses are borne") {
+TEST_CASE("five core machines with three seeds: all become voters, and two losses are tolerated") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         INFO("seed " << seed);
-        VotersWorld play(seed, 5);
-        for (auto& machine : play.core) machine->settings().tolerance.machines = 2;
-        play.startAll();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(8000)));
-        play.checkChange(1);
-        play.core[seed % 5]->kill();
-        play.core[(seed + 2) % 5]->kill();
-        play.world.run(Millis(4000));
-        play.checkChange(2);
-        // Without new machines, the voters stay.
-        CHECK(countOf(votersOf(play.anyRunning())) == 5);
-        play.core[seed % 5]->wipe();
-        play.core[seed % 5]->start();
-        play.core[(seed + 2) % 5]->start();
-        CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(8000)));
-        play.checkChange(3);
+        VotersWorld sim(seed, 5);
+        for (auto& machine : sim.core) machine->settings().tolerance.machines = 2;
+        sim.startAll();
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(8000)));
+        sim.checkChange(1);
+        sim.core[seed % 5]->kill();
+        sim.core[(seed + 2) % 5]->kill();
+        sim.world.run(Millis(4000));
+        sim.checkChange(2);
+        // Without new machines the voter set stays as it is.
+        CHECK(countVoters(votersOf(sim.anyRunning())) == 5);
+        sim.core[seed % 5]->wipe();
+        sim.core[seed % 5]->start();
+        sim.core[(seed + 2) % 5]->start();
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(8000)));
+        sim.checkChange(3);
     }
 }
 
-TEST_CASE("a restart changes no voters, and a voter that was removed meanwhile finds out") {
-    VotersWorld play(9);
-    play.startAll();
-    play.world.run(Millis(4000));
-    CoreMachine& lost = *play.core[1];
+TEST_CASE("a restart changes no voters, and a voter that was removed while down learns of its removal") {
+    VotersWorld sim(9);
+    sim.startAll();
+    sim.world.run(Millis(4000));
+    CoreMachine& lost = *sim.core[1];
     lost.kill();
-    play.world.run(Millis(6000));
-    CHECK(countOf(votersOf(*play.core[0])) == 3);
-    CHECK(names(votersOf(*play.core[0]), lost.ip()));
-    play.addEmpty();
-    REQUIRE(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(8000)));
-    const std::string now = votersOf(*play.core[0]);
-    // Its disk still says that it votes; it meets one machine that knows better.
-    play.network.cutBoth(lost.ip(), play.core[2]->ip());
-    play.network.cutBoth(lost.ip(), play.core[3]->ip());
+    sim.world.run(Millis(6000));
+    CHECK(countVoters(votersOf(*sim.core[0])) == 3);
+    CHECK(listsVoter(votersOf(*sim.core[0]), lost.ip()));
+    sim.addEmptyMachine();
+    REQUIRE(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(8000)));
+    const std::string now = votersOf(*sim.core[0]);
+    // Its disk still names it as a voter; it can reach only one machine that knows the newer set.
+    sim.network.cutBoth(lost.ip(), sim.core[2]->ip());
+    sim.network.cutBoth(lost.ip(), sim.core[3]->ip());
     lost.start();
-    CHECK(play.world.runUntil([&] { return votersOf(lost) == now; }, Millis(1500)));
+    CHECK(sim.world.runUntil([&] { return votersOf(lost) == now; }, Millis(1500)));
     CHECK_FALSE(lost.votes());
-    play.network.healAll();
-    // It is a machine like any other now, and is taken as a voter again.
-    CHECK(play.world.runUntil([&] { return play.runningMachinesVote(); }, Millis(6000)));
-    play.checkChange(1);
+    sim.network.healAll();
+    // It is now an ordinary machine and becomes a voter again.
+    CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, Millis(6000)));
+    sim.checkChange(1);
 }
 
-TEST_CASE("one change adds or removes one machine, and only where the rest has a majority") {
+TEST_CASE("one change adds or removes one machine, and only if the remaining voters have a majority") {
     const VoterSet three{4, {address(1), address(2), address(3)}};
     const VoterSet four{5, {address(1), address(2), address(3), address(4)}};
     const CoreObservation one{address(1), true, false, true};
@@ -153,27 +154,27 @@
     const CoreObservation newcomer{address(4), true, false, true};
     const CoreObservation unready{address(4), true, false, false};
     CHECK(nextVoters(three, {one, two, third, newcomer}, 1) == four);
-    // A lost one goes first where another stands by, then that one comes.
+    // If another machine is ready, the lost voter is removed first, and then the ready machine is added.
     const VoterSet two_left{5, {address(1), address(2)}};
     CHECK(nextVoters(three, {one, two, third_gone, newcomer}, 1) == two_left);
     CHECK(nextVoters(three, {one, two, third_absent, newcomer}, 1) == two_left);
     CHECK(nextVoters(two_left, {one, two, newcomer}, 1) == VoterSet{6, {address(1), address(2), address(4)}});
     CHECK(nextVoters(four, {one, two, third_gone, newcomer}, 1) ==
           VoterSet{6, {address(1), address(2), address(4)}});
-    // Not without a replacement, not below 2f, and not for a machine without data.
+    // Not without a replacement, not below 2f voters, and not for a machine without data.
     CHECK_FALSE(nextVoters(three, {one, two, third_gone}, 1).has_value());
     CHECK_FALSE(nextVoters(three, {one, two, third_gone, unready}, 1).has_value());
     CHECK_FALSE(nextVoters(four, {one, two, third_gone, newcomer}, 2).has_value());
     CHECK_FALSE(nextVoters(two_left, {one, {address(2), false, true, false}, newcomer}, 1).has_value());
-    // Two of four could not choose anything.
+    // Two of four are no majority, so no later change could be made.
     const CoreObservation two_gone{address(2), false, true, false};
     CHECK_FALSE(nextVoters(three, {one, two_gone, third_gone, newcomer}, 1).has_value());
     CHECK_FALSE(nextVoters(four, {one, two_gone, third_gone, newcomer}, 1).has_value());
-    // Never two at once.
+    // Never two machines at once.
     const VoterSet five{7, {address(1), address(2), address(3), address(4), address(5)}};
     CHECK(nextVoters(five, {one, two, third_gone, newcomer, {address(5), false, true, false}}, 1)
               ->addresses.size() == 4);
-    // Where the rest bears another loss, a short absence changes nothing.
+    // If the others tolerate another loss, a short absence changes nothing.
     const CoreObservation fifth{address(5), true, false, true};
     CHECK_FALSE(nextVoters(five, {one, two, third_absent, newcomer, fifth}, 1).has_value());
     CHECK(nextVoters(five, {one, two, third_gone, newcomer, fifth}, 1)->addresses.size() == 4);
@@ -184,19 +185,19 @@
 
 namespace {
 
-CoreObservation standing(int index, const std::string& zone, const std::string& region = "r") {
+CoreObservation readyMachineIn(int index, const std::string& zone, const std::string& region = "r") {
     return {address(index), true, false, true, zone, region};
 }
 
-// Repeats nextVoters() until nothing changes.
-VoterSet settled(VoterSet voters, const std::vector<CoreObservation>& machines, std::size_t tolerated,
-                 const VoterSpread& spread) {
+// Repeats nextVoters() until it proposes no further change.
+VoterSet convergedVoters(VoterSet voters, const std::vector<CoreObservation>& machines,
+                         std::size_t tolerated_machines, const DomainTolerance& tolerated_domains) {
     for (int changes = 0; changes < 20; ++changes) {
-        const auto next = nextVoters(voters, machines, tolerated, spread);
+        const auto next = nextVoters(voters, machines, tolerated_machines, tolerated_domains);
         if (!next) return voters;
         voters = *next;
     }
-    FAIL("voters never settle");
+    FAIL("the voter set does not converge");
     return voters;
 }
 
@@ -208,37 +209,41 @@
 }  // namespace
 
 TEST_CASE("voters are spread so that any one zone may be lost") {
-    const std::vector<CoreObservation> machines = {standing(1, "a"), standing(2, "a"), standing(3, "a"),
-                                                   standing(4, "b"), standing(5, "c")};
+    const std::vector<CoreObservation> machines = {readyMachineIn(1, "a"), readyMachineIn(2, "a"),
+                                                   readyMachineIn(3, "a"), readyMachineIn(4, "b"),
+                                                   readyMachineIn(5, "c")};
     const VoterSet first{0, {address(1), address(2), address(3)}};
-    const VoterSet anywhere = settled(first, machines, 1, {});
+    const VoterSet anywhere = convergedVoters(first, machines, 1, {});
     CHECK(anywhere.addresses.size() == 5);
-    const VoterSet spread = settled(first, machines, 1, {1, 0});
-    CHECK(spread.addresses.size() == 3);
-    CHECK(holds(spread, 4));
-    CHECK(holds(spread, 5));
+    const VoterSet tolerated_domains = convergedVoters(first, machines, 1, {1, 0});
+    CHECK(tolerated_domains.addresses.size() == 3);
+    CHECK(holds(tolerated_domains, 4));
+    CHECK(holds(tolerated_domains, 5));
 }
 
-TEST_CASE("voters are spread so that any one region may be lost, and keep what machines may be lost") {
-    const std::vector<CoreObservation> machines = {standing(1, "a", "x"), standing(2, "b", "x"),
-                                                   standing(3, "c", "y"), standing(4, "d", "y"),
-                                                   standing(5, "e", "z"), standing(6, "f", "x")};
+TEST_CASE(
+    "voters are spread so that any one region may be lost, and still tolerate the loss of two machines") {
+    const std::vector<CoreObservation> machines = {readyMachineIn(1, "a", "x"), readyMachineIn(2, "b", "x"),
+                                                   readyMachineIn(3, "c", "y"), readyMachineIn(4, "d", "y"),
+                                                   readyMachineIn(5, "e", "z"), readyMachineIn(6, "f", "x")};
     const VoterSet first{0, {address(1), address(2), address(6)}};
-    const VoterSet spread = settled(first, machines, 2, {0, 1});
-    CHECK(spread.addresses.size() == 5);
-    CHECK(holds(spread, 1));
-    CHECK(holds(spread, 2));
-    CHECK_FALSE(holds(spread, 6));
+    const VoterSet tolerated_domains = convergedVoters(first, machines, 2, {0, 1});
+    CHECK(tolerated_domains.addresses.size() == 5);
+    CHECK(holds(tolerated_domains, 1));
+    CHECK(holds(tolerated_domains, 2));
+    CHECK_FALSE(holds(tolerated_domains, 6));
 }
 
-TEST_CASE("where no choice of machines bears the loss of a zone, all become voters") {
-    const std::vector<CoreObservation> machines = {standing(1, "a"), standing(2, "a"), standing(3, "b")};
-    CHECK(settled({0, {address(1)}}, machines, 1, {1, 0}).addresses.size() == 3);
+TEST_CASE("if no choice of machines survives the loss of a zone, all become voters") {
+    const std::vector<CoreObservation> machines = {readyMachineIn(1, "a"), readyMachineIn(2, "a"),
+                                                   readyMachineIn(3, "b")};
+    CHECK(convergedVoters({0, {address(1)}}, machines, 1, {1, 0}).addresses.size() == 3);
 }
 
-TEST_CASE("no voter goes while one is absent, or the zone of one is not known") {
-    std::vector<CoreObservation> machines = {standing(1, "a"), standing(2, "a"), standing(3, "b"),
-                                             standing(4, "c"), standing(5, "a")};
+TEST_CASE("no voter is removed while one is absent, or while the zone of one is unknown") {
+    std::vector<CoreObservation> machines = {readyMachineIn(1, "a"), readyMachineIn(2, "a"),
+                                             readyMachineIn(3, "b"), readyMachineIn(4, "c"),
+                                             readyMachineIn(5, "a")};
     const VoterSet all{3, {address(1), address(2), address(3), address(4), address(5)}};
     CHECK(nextVoters(all, machines, 1, {1, 0}).has_value());
     machines[2].zone.clear();
--- a/tests/cluster/control_voters_world.hpp
+++ b/tests/cluster/control_voters_world.hpp
@@ -1,4 +1,4 @@
-// A world of core machines that are replaced or added, with an edge and a store that follow them.
+// A simulated cluster whose core machines are replaced or added, with an edge and a store as clients.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -9,17 +9,17 @@
 
 namespace amberswitch::cluster::simulation {
 
-// The voters as a core machine's status tells them, as JSON.
+// The voters in the status of a core machine, as JSON.
 inline std::string votersOf(const CoreMachine& machine) {
     const std::string status = const_cast<CoreMachine&>(machine).node().statusJson();
     const std::string begin = "\"voters\":[";
     const std::size_t from = status.find(begin) + begin.size();
     return status.substr(from, status.find(']', from) - from);
 }
-inline std::size_t countOf(const std::string& voters) {
+inline std::size_t countVoters(const std::string& voters) {
     return voters.empty() ? 0 : 1 + static_cast<std::size_t>(std::count(voters.begin(), voters.end(), ','));
 }
-inline bool names(const std::string& voters, const std::string& ip) {
+inline bool listsVoter(const std::string& voters, const std::string& ip) {
     return voters.find("\"" + ip + ":") != std::string::npos;
 }
 
@@ -29,8 +29,8 @@
         addClient("edge-1", NodeKind::edge, "10.2.0.1");
         addClient("storage-1", NodeKind::store, "10.1.0.1");
     }
-    // An empty machine at a new address, which is told the machines that run now.
-    CoreMachine& addEmpty() {
+    // Starts an empty machine at a new address, whose seeds are up to three of the running machines.
+    CoreMachine& addEmptyMachine() {
         NodeSettings settings = core.front()->settings();
         const std::string number = std::to_string(core.size() + 1);
         settings.name = "core-new-" + number;
@@ -44,16 +44,16 @@
         core.back()->start();
         return *core.back();
     }
-    // All machines that run vote, and only they.
+    // True if all running machines vote, and the voter set contains only them.
     bool runningMachinesVote() const {
         std::size_t running = 0;
         for (const auto& machine : core) running += machine->runs() ? 1 : 0;
         return std::all_of(core.begin(), core.end(), [&](const auto& machine) {
             if (!machine->runs()) return true;
             const std::string voters = votersOf(*machine);
-            if (!machine->votes() || countOf(voters) != running) return false;
+            if (!machine->votes() || countVoters(voters) != running) return false;
             return std::all_of(core.begin(), core.end(), [&](const auto& other) {
-                return other->runs() == names(voters, other->ip());
+                return other->runs() == listsVoter(voters, other->ip());
             });
         });
     }
@@ -68,7 +68,8 @@
             return configuration && configuration->generation == generation;
         });
     }
-    // The operator's next change is taken, reaches all, and the one before it was not lost.
+    // Checks that the next configuration change is accepted and reaches all clients, and that the previous
+    // one was not lost.
     void checkChange(std::int64_t generation) {
         CoreMachine& machine = anyRunning();
         if (generation > 1) CHECK(read(machine).body == configurationJson(generation - 1));
--- a/tests/cluster/control_window_test.cpp
+++ b/tests/cluster/control_window_test.cpp
@@ -1,4 +1,5 @@
-// The changes that a configuration's state remembers, and what is said of older ones.
+// The window of past changes that a configuration state remembers, and the answers to repeats of older
+// changes.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -18,7 +19,7 @@
 constexpr int kChanges = 600;
 constexpr std::size_t kEncodedChangeBytes = 24;
 
-// Versions rise in uneven steps.
+// Generations that rise in uneven steps.
 std::vector<std::int64_t> unevenGenerations(int count) {
     std::vector<std::int64_t> generations;
     std::int64_t generation = 0;
@@ -30,7 +31,7 @@
     return {generation, base, digest};
 }
 
-// All changes that were taken, and the state after them.
+// All accepted changes, and the state after them.
 struct History {
     std::vector<TakenChange> changes;
     ConfigurationState state;
@@ -54,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("no change that was taken is ever refused, however many came after it") {
+TEST_CASE("an accepted change is never refused later, however many changes follow it") {
     History history(0);
     for (const std::int64_t generation : unevenGenerations(kChanges)) {
         history.take(generation);
@@ -68,7 +69,7 @@
     }
 }
 
-TEST_CASE("the 513th change: the first one is forgotten, the second is the oldest that is known") {
+TEST_CASE("after the 513th change the first one is forgotten, and the second is the oldest known") {
     History history(512);
     CHECK(newestForgotten(history.state) == 0);
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::taken);
@@ -81,22 +82,23 @@
     CHECK(history.verdictOf(history.changes[512]) == ReplaceVerdict::taken);
 }
 
-TEST_CASE("changes that were surely not taken are refused after any number of changes") {
+TEST_CASE("changes that were certainly not accepted are refused after any number of changes") {
     const History history(kChanges);
     const std::int64_t current = history.state.generation;
     const std::int64_t forgotten = newestForgotten(history.state);
     CHECK(forgotten == history.changes[kChanges - kTakenKept - 1].generation);
-    // Not above the current version, on top of it.
+    // Not above the current version, although based on it.
     CHECK(history.verdictOf(changeTo(current, current, 9)) == ReplaceVerdict::generation_too_low);
     CHECK(history.verdictOf(changeTo(current - 1, current, 9)) == ReplaceVerdict::generation_too_low);
     CHECK(history.verdictOf(changeTo(1, current, 9)) == ReplaceVerdict::generation_too_low);
-    // A rival of each remembered change, with its number or another one: the base is not the current version.
+    // A conflicting change for each remembered one, with the same or another generation: the base is not the
+    // current version.
     for (std::size_t index = kChanges - kTakenKept; index < history.changes.size(); ++index) {
         const TakenChange& won = history.changes[index];
         CHECK(history.verdictOf(changeTo(won.generation, won.base, 9)) == ReplaceVerdict::other_base);
         CHECK(history.verdictOf(changeTo(current + 1, won.base, 9)) == ReplaceVerdict::other_base);
     }
-    // A new one on an old base, on one that is forgotten, and on one that is not there yet.
+    // A new change on an old base, on a forgotten one, and on one that does not exist yet.
     CHECK(history.verdictOf(changeTo(current + 1, 0, 9)) == ReplaceVerdict::other_base);
     CHECK(history.verdictOf(changeTo(current + 9, current + 5, 9)) == ReplaceVerdict::other_base);
     CHECK(history.verdictOf(changeTo(forgotten + 1, 0, 9)) == ReplaceVerdict::other_base);
@@ -104,7 +106,7 @@
     CHECK(history.verdictOf(changeTo(current + 1, current, 9)) == ReplaceVerdict::taken);
 }
 
-TEST_CASE("what the remembered changes add to each value is bounded") {
+TEST_CASE("the size that remembered changes add to each value is bounded") {
     History history(0);
     const std::size_t empty = encode(ConfigurationState{1, "body", {}}).size();
     std::size_t largest = 0;
@@ -118,10 +120,10 @@
     CHECK(largest == 12'288);
 }
 
-TEST_CASE("600 changes at running machines: repeats are confirmed or unclear, invalid ones refused") {
-    ControlWorld play(81);
-    play.startAll();
-    play.world.run(Millis(2500));
+TEST_CASE("600 changes at running machines: repeats are confirmed or unknown, invalid ones refused") {
+    ControlWorld sim(81);
+    sim.startAll();
+    sim.world.run(Millis(2500));
     const std::vector<std::int64_t> generations = unevenGenerations(kChanges);
     const auto baseOf = [&](int index) {
         return index == 0 ? 0 : generations[static_cast<std::size_t>(index) - 1];
@@ -130,28 +132,28 @@
         return configurationJson(generations[static_cast<std::size_t>(index)]);
     };
     for (int index = 0; index < kChanges; ++index) {
-        CoreMachine& machine = *play.core[static_cast<std::size_t>(index) % 3];
-        REQUIRE(play.replace(machine, baseOf(index), bodyOf(index)) == 200);
+        CoreMachine& machine = *sim.core[static_cast<std::size_t>(index) % 3];
+        REQUIRE(sim.replace(machine, baseOf(index), bodyOf(index)) == 200);
     }
     const std::int64_t current = generations.back();
     const auto check = [&](CoreMachine& machine) {
         constexpr int kOldestKept = kChanges - static_cast<int>(kTakenKept);
-        CHECK(play.replace(machine, 0, bodyOf(0)) == 503);
-        CHECK(play.replace(machine, baseOf(kOldestKept - 1), bodyOf(kOldestKept - 1)) == 503);
-        CHECK(play.replace(machine, baseOf(kOldestKept), bodyOf(kOldestKept)) == 200);
-        CHECK(play.replace(machine, baseOf(kChanges - 1), bodyOf(kChanges - 1)) == 200);
+        CHECK(sim.replace(machine, 0, bodyOf(0)) == 503);
+        CHECK(sim.replace(machine, baseOf(kOldestKept - 1), bodyOf(kOldestKept - 1)) == 503);
+        CHECK(sim.replace(machine, baseOf(kOldestKept), bodyOf(kOldestKept)) == 200);
+        CHECK(sim.replace(machine, baseOf(kChanges - 1), bodyOf(kChanges - 1)) == 200);
         const std::string rival = configurationJson(current, "rival");
-        CHECK(play.replace(machine, current, rival) == 400);
-        CHECK(play.replace(machine, current, configurationJson(generations[0])) == 400);
-        CHECK(play.replace(machine, baseOf(kChanges - 1), rival) == 412);
-        CHECK(play.replace(machine, baseOf(300), configurationJson(current + 1)) == 412);
-        CHECK(play.replace(machine, 0, configurationJson(current + 1)) == 412);
-        CHECK(play.read(machine).body == bodyOf(kChanges - 1));
+        CHECK(sim.replace(machine, current, rival) == 400);
+        CHECK(sim.replace(machine, current, configurationJson(generations[0])) == 400);
+        CHECK(sim.replace(machine, baseOf(kChanges - 1), rival) == 412);
+        CHECK(sim.replace(machine, baseOf(300), configurationJson(current + 1)) == 412);
+        CHECK(sim.replace(machine, 0, configurationJson(current + 1)) == 412);
+        CHECK(sim.read(machine).body == bodyOf(kChanges - 1));
     };
-    for (auto& machine : play.core) check(*machine);
-    for (auto& machine : play.core) machine->kill();
-    play.startAll();
-    play.world.run(Millis(2500));
-    for (auto& machine : play.core) check(*machine);
-    CHECK(play.replace(*play.core[0], current, configurationJson(current + 1)) == 200);
+    for (auto& machine : sim.core) check(*machine);
+    for (auto& machine : sim.core) machine->kill();
+    sim.startAll();
+    sim.world.run(Millis(2500));
+    for (auto& machine : sim.core) check(*machine);
+    CHECK(sim.replace(*sim.core[0], current, configurationJson(current + 1)) == 200);
 }
--- a/tests/cluster/control_world.hpp
+++ b/tests/cluster/control_world.hpp
@@ -1,4 +1,4 @@
-// Fakes and a small world of core machines for the tests of the control plane.
+// Fakes and a small simulated cluster of core machines for the tests of the control plane.
 #pragma once
 
 #include <functional>
@@ -21,10 +21,10 @@
 
 inline constexpr std::uint16_t kFirstPort = 7780;
 
-// What survives on a disk.
+// The durable content of a disk.
 using DiskContent = std::map<std::string, std::string, std::less<>>;
 
-// A disk whose unsynced writes are lost with the process, as at a loss of power.
+// A disk whose unsynced writes are lost with the process, as in a power failure.
 class FakeDisk : public RecordStore {
 public:
     FakeDisk(Scheduler& scheduler, DiskContent& durable)
@@ -62,7 +62,7 @@
 
     bool lacksRecords() const override { return lacks_records; }
 
-    bool fails = false;  // syncs, from the next one on
+    bool fails = false;  // all syncs from the next one on fail
     std::uint64_t syncs = 0;
     bool lacks_records = false;
 
@@ -90,7 +90,7 @@
     std::vector<TimerHandle> timers_;
 };
 
-// The platform's list of servers, in pages.
+// The server list API of the platform, with paging.
 class FakeCloud : public HttpClient {
 public:
     explicit FakeCloud(World& world) : world_(world) {}
@@ -117,7 +117,7 @@
     int refuse_next = 0;  // calls answered with 429
     bool silent = false;
 
-    // The JSON of one instance.
+    // Returns the JSON of one instance.
     static std::string instance(const std::string& uid, const std::string& phase = "ready",
                                 int warmup_ms = 0) {
         return R"({"backend":"desk","address":"10.9.0.9:8080","zone":"a","generation":"v1","capacity":6,"phase":")" +
@@ -128,7 +128,7 @@
         const std::string token = next_token.empty() ? "null" : "\"" + next_token + "\"";
         return R"({"instances":[)" + instances + R"(],"nextPageToken":)" + token + "}";
     }
-    // The token of the page at that index; needs escaping.
+    // Returns the token of the page at that index; it needs URL escaping.
     static std::string token(std::size_t index) { return "p&" + std::to_string(index); }
 
 private:
@@ -148,7 +148,7 @@
     World& world_;
 };
 
-// A valid configuration of that generation; `note` makes bodies of one generation differ.
+// Returns a valid configuration of that generation; `note` makes bodies of one generation differ.
 inline std::string configurationJson(std::int64_t generation, const std::string& note = "desk") {
     return R"({"generation":)" + std::to_string(generation) +
            R"(,"routes":[{"name":"r-1","hostname":"a.example","pathPrefix":"/one/","type":"deferred",)"
@@ -163,14 +163,14 @@
            R"("headerTimeoutMs":3000,"idleTimeoutMs":15000}})";
 }
 
-// The only page of the whole configuration of that generation.
+// Returns the single page with the whole configuration of that generation.
 inline ConfigurationPage configurationPage(std::int64_t generation) {
     ConfigurationHistory history;
     history.add({generation, configurationJson(generation), {}});
     return history.updateFrom({}).pageAfter({});
 }
 
-// One core machine: its disk stays, its process comes and goes.
+// One core machine, whose disk content persists while its process is started and killed.
 class CoreMachine {
 public:
     CoreMachine(World& world, Network& network, FakeCloud& cloud, NodeSettings settings)
@@ -194,7 +194,7 @@
         scheduler_.reset();
         settings_.bootstrap = false;
     }
-    // The process stands still for that time.
+    // Pauses the process for that time.
     void freeze(Millis span) {
         scheduler_->freeze(span);
         network_.freeze(settings_.ip, span);
@@ -230,7 +230,7 @@
     std::unique_ptr<ControlNode> node_;
 };
 
-// An edge or a store that only talks to the core.
+// An edge or a store that only communicates with the core.
 class ClientProcess {
 public:
     ClientProcess(World& world, Network& network, Member member, std::vector<NodeAddress> core)
@@ -260,7 +260,7 @@
         transport_.reset();
     }
     CoreClient& client() { return *client_; }
-    // The process stands still for that time.
+    // Pauses the process for that time.
     void freeze(Millis span) {
         scheduler_.freeze(span);
         network_.freeze(ip_, span);
@@ -270,7 +270,7 @@
     std::vector<std::int64_t> generations;
     std::vector<ServerListVersion> server_versions;
     std::vector<Epoch> epochs;
-    bool peers = true;  // as a store it says that its partitions are peered
+    bool peers = true;  // as a store, reports that its partitions have finished peering
 
 private:
     SimulatedScheduler scheduler_;
@@ -281,7 +281,7 @@
     std::unique_ptr<CoreClient> client_;
 };
 
-// Three core machines, a platform, and any number of clients.
+// A cluster of core machines (by default three), a platform, and any number of clients.
 class ControlWorld {
 public:
     explicit ControlWorld(std::uint64_t seed, std::size_t core_machines = 3)
@@ -291,7 +291,7 @@
     }
     ~ControlWorld() { clients.clear(); }
 
-    // All machines at random moments within 0.3 s.
+    // Starts all machines at random moments within 0.3 s.
     void startAll() {
         for (auto& machine : core) {
             const Millis delay{static_cast<std::int64_t>(world.chance() * 300)};
@@ -319,7 +319,8 @@
         }
         return nullptr;
     }
-    // One HTTP call to a core machine's control address; 0: no answer in that time.
+    // Makes one HTTP call to the control address of a core machine; status 0 if there is no response within
+    // `wait`.
     HttpResponse call(CoreMachine& machine, const HttpRequest& request, Millis wait = Millis(3000)) {
         const auto answer = std::make_shared<HttpResponse>();
         answer->status = 0;
--- a/tests/cluster/register_values_test.cpp
+++ b/tests/cluster/register_values_test.cpp
@@ -1,4 +1,5 @@
-// The configuration as the register keeps it: compressed, and readable where an older program wrote it plain.
+// Encoding of configurations in the register: stored compressed, and readable if an older program stored them
+// plain.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "cluster/control/register_values.hpp"
 
@@ -26,7 +27,7 @@
     return {3, largeConfiguration(3, 1'000), {{3, 1, 17}}};
 }
 
-// A valid configuration that compresses badly: the names of its services are random.
+// A valid configuration that compresses poorly, since its service names are random.
 std::string randomConfiguration(std::int64_t generation, std::size_t services) {
     constexpr std::string_view kLetters = "abcdefghijklmnopqrstuvwxyz0123456789";
     constexpr std::size_t kNameLetters = 60;
@@ -49,17 +50,17 @@
 }  // namespace
 
 TEST_CASE("core machines store a configuration in less than a tenth of its bytes") {
-    ControlWorld play(91);
-    play.startAll();
-    play.world.run(Millis(4000));
+    ControlWorld sim(91);
+    sim.startAll();
+    sim.world.run(Millis(4000));
     const std::string body = largeConfiguration(1, 1'000);
-    REQUIRE(play.replace(*play.core[0], 0, body) == kTaken);
-    play.world.run(Millis(1000));
-    for (auto& machine : play.core) {
+    REQUIRE(sim.replace(*sim.core[0], 0, body) == kTaken);
+    sim.world.run(Millis(1000));
+    for (auto& machine : sim.core) {
         const std::size_t stored = recordOn(*machine).value.size();
         CHECK(stored > 0);
         CHECK(stored < body.size() / 10);
-        CHECK((play.read(*machine).body == body));
+        CHECK((sim.read(*machine).body == body));
     }
 }
 
@@ -88,7 +89,7 @@
     }
 }
 
-TEST_CASE("a compressed body that is damaged is not readable, and no empty configuration") {
+TEST_CASE("a damaged compressed body is not readable, and not taken for an empty configuration") {
     const std::string body = largeState().body;
     const std::string whole = compressed(body);
     const auto isRead = [](const std::string& kept) {
@@ -109,45 +110,45 @@
     }
 }
 
-TEST_CASE("a body that expands without bound is not readable") {
+TEST_CASE("a body that decompresses to more than the limit is not readable") {
     constexpr std::size_t kFarTooManyBytes = 65 * 1024 * 1024;
     const std::string bomb = compressed("{" + std::string(kFarTooManyBytes, ' '));
     REQUIRE(bomb.size() < kMaxConfigurationValueBytes);
     CHECK_FALSE(readConfigurationState(encode(ConfigurationState{3, bomb, {}})).has_value());
 }
 
-TEST_CASE("core machines go on from a value that an older program wrote uncompressed") {
-    ControlWorld play(92);
-    play.startAll();
-    play.world.run(Millis(4000));
+TEST_CASE("core machines continue from a value that an older program wrote uncompressed") {
+    ControlWorld sim(92);
+    sim.startAll();
+    sim.world.run(Millis(4000));
     const std::string first = largeConfiguration(1, 1'000);
-    REQUIRE(play.replace(*play.core[0], 0, first) == kTaken);
-    play.world.run(Millis(1000));
-    for (auto& machine : play.core) machine->kill();
-    for (auto& machine : play.core) {
+    REQUIRE(sim.replace(*sim.core[0], 0, first) == kTaken);
+    sim.world.run(Millis(1000));
+    for (auto& machine : sim.core) machine->kill();
+    for (auto& machine : sim.core) {
         AcceptedRecord record = recordOn(*machine);
         record.value = encode(readConfigurationState(record.value).value());
         machine->content()[kConfigRecordKey] = encode(record);
     }
-    play.startAll();
-    play.world.run(Millis(4000));
-    for (auto& machine : play.core) CHECK((play.read(*machine).body == first));
-    CHECK(play.replace(*play.core[0], 0, first) == kTaken);  // known as taken
+    sim.startAll();
+    sim.world.run(Millis(4000));
+    for (auto& machine : sim.core) CHECK((sim.read(*machine).body == first));
+    CHECK(sim.replace(*sim.core[0], 0, first) == kTaken);  // repeated change, recognised as accepted before
     const std::string second = largeConfiguration(2, 1'000);
-    CHECK(play.replace(*play.core[1], 1, second) == kTaken);
-    for (auto& machine : play.core) CHECK((play.read(*machine).body == second));
+    CHECK(sim.replace(*sim.core[1], 1, second) == kTaken);
+    for (auto& machine : sim.core) CHECK((sim.read(*machine).body == second));
 }
 
 TEST_CASE("a configuration that is too large even compressed is refused, and the one before it stays") {
-    ControlWorld play(93);
-    play.startAll();
-    play.world.run(Millis(4000));
+    ControlWorld sim(93);
+    sim.startAll();
+    sim.world.run(Millis(4000));
     const std::string first = configurationJson(1);
-    REQUIRE(play.replace(*play.core[0], 0, first) == kTaken);
+    REQUIRE(sim.replace(*sim.core[0], 0, first) == kTaken);
     const std::string body = randomConfiguration(2, 30'000);
     REQUIRE(body.size() < kMaxOperatorBodyBytes);
     REQUIRE(compressed(body).size() > kMaxConfigurationValueBytes);
-    CHECK(play.replace(*play.core[1], 1, body) == kTooLarge);
-    CHECK(play.read(*play.core[2]).body == first);
-    CHECK(play.replace(*play.core[0], 1, largeConfiguration(2, 1'000)) == kTaken);
+    CHECK(sim.replace(*sim.core[1], 1, body) == kTooLarge);
+    CHECK(sim.read(*sim.core[2]).body == first);
+    CHECK(sim.replace(*sim.core[0], 1, largeConfiguration(2, 1'000)) == kTaken);
 }
--- a/tests/explorer/core_machines.hpp
+++ b/tests/explorer/core_machines.hpp
@@ -14,7 +14,7 @@
 #include "cluster/control/register_proposer.hpp"
 #include "cluster/control/register_voter.hpp"
 #include "cluster/control/voter_recovery.hpp"
-#include "cluster/control/voter_set_keeper.hpp"
+#include "cluster/control/voter_set_manager.hpp"
 #include "tests/explorer/explored_process.hpp"
 
 namespace amberswitch::cluster::explorer {
@@ -64,9 +64,9 @@
                 std::make_unique<ChosenValues>(*scheduler_, *transport_, *voter_, *proposer_, peers_now);
         }
         membership_ = std::make_unique<Membership>(*scheduler_);
-        keeper_ = std::make_unique<VoterSetKeeper>(
+        keeper_ = std::make_unique<VoterSetManager>(
             *scheduler_, *transport_, *voter_, *proposer_, *membership_, name, 1,
-            VoterSetHooks{.is_acting = [this] { return acts; }, .peers = peers_now});
+            VoterSetHooks{.is_acting_leader = [this] { return acts; }, .peers = peers_now});
         transport_->serve(
             [this](const Envelope& request, const Responder& respond) { serve(request, respond); });
         if (parts_.recovery) recovery_->start();
@@ -106,7 +106,7 @@
         request.member.incarnation = static_cast<Incarnation>(other.processes_);
         request.member.disk_empty = !other.voter_->hasData();
         membership_->renew(request);
-        if (keeper_) keeper_->onRenewed(request.member.name);
+        if (keeper_) keeper_->onLeaseRenewed(request.member.name);
     }
 
     DiskContent content;
@@ -149,7 +149,7 @@
     void serveAccept(const AcceptRequest& request, const Responder& respond) {
         voter_->accept(request, [this, respond, key = request.key](const AcceptReply& answer) {
             respond(reply(answer));
-            if (answer.accepted && chosen_) chosen_->noteAccepted(key);
+            if (answer.accepted && chosen_) chosen_->onAccepted(key);
         });
     }
 
@@ -168,7 +168,7 @@
     std::unique_ptr<VoterRecovery> recovery_;
     std::unique_ptr<ChosenValues> chosen_;
     std::unique_ptr<Membership> membership_;
-    std::unique_ptr<VoterSetKeeper> keeper_;
+    std::unique_ptr<VoterSetManager> keeper_;
 };
 
 // All core machines of an execution.
--- a/tests/explorer/lease_scenario.hpp
+++ b/tests/explorer/lease_scenario.hpp
@@ -78,7 +78,7 @@
         process.transport = std::make_unique<ExploredTransport>(world_, listeners_, machine, incarnation,
                                                                 self, process.alive);
         ElectionHooks hooks;
-        hooks.electors = [this] { return electors_; };
+        hooks.voters = [this] { return electors_; };
         hooks.may_vote = [] { return true; };
         hooks.last_leader = [] { return std::string(); };
         process.election = std::make_unique<LeaderElection>(
--- a/tests/history/voter_disk_test.cpp
+++ b/tests/history/voter_disk_test.cpp
@@ -54,7 +54,7 @@
         ring_ = std::make_unique<RingStore>(scheduler_, folder_, options);
         const std::vector<NodeAddress> voters{kSelf, {"10.0.0.2", 7780}, {"10.0.0.3", 7780}};
         voter_ = std::make_unique<RegisterVoter>(*ring_, kSelf, voters, bootstrap);
-        if (bootstrap) REQUIRE(scheduler_.runUntil([this] { return voter_->votes(); }));
+        if (bootstrap) REQUIRE(scheduler_.runUntil([this] { return voter_->canVote(); }));
     }
 
     std::string folder_;
@@ -87,7 +87,7 @@
         most_bytes = std::max(most_bytes, bytesIn(folder));
         most_live = std::max(most_live, machine.ring().usage().live_bytes);
         machine.restart();
-        REQUIRE(machine.voter().votes());
+        REQUIRE(machine.voter().canVote());
         REQUIRE(machine.voter().acceptedValue(kConfigKey) == valueOf(change));
     }
     machine.restart();
