--- a/apps/ambercluster/roles.cpp
+++ b/apps/ambercluster/roles.cpp
@@ -48,7 +48,7 @@
 struct Exchange {
     Exchange(EventLoop& loop, const NodeSettings& settings, PortOffset offset, const RoleOptions& options)
         : locations(settings.zone, settings.topology),
-          transport(makeTransport(loop, settings.internal(offset), options), locations, meter) {}
+          transport(makeTransport(loop, settings.internalAddress(offset), options), locations, meter) {}
 
     NodeLocations locations;
     TrafficMeter meter;
@@ -73,7 +73,7 @@
     member.name = settings.name;
     member.kind = kind;
     member.zone = settings.zone;
-    member.address = settings.internal(offset);
+    member.address = settings.internalAddress(offset);
     member.incarnation = incarnation;
     member.bootstrap = settings.bootstrap;
     return member;
@@ -198,8 +198,9 @@
                                node.handleHttp(request, std::move(respond));
                            });
     operators.setLimits(operatorLimits());
-    MetricsServer metrics(loop, {settings.ip, options.metrics_port},
-                          [&] { return node.metricsText() + exchange.meter.text() + invariantsText(); });
+    MetricsServer metrics(loop, {settings.ip, options.metrics_port}, [&] {
+        return node.metricsText() + exchange.meter.text() + invariantMetricsText();
+    });
     loop.onSignal(SIGHUP, [] {});
     loop.onSignal(SIGTERM, [&] {
         operators.startClosing();
@@ -229,8 +230,9 @@
     callbacks.on_view = [&node](auto view) { node.onView(std::move(view)); };
     CoreClient client(loop, exchange.transport, self, coreAddresses(settings), exchange.locations, callbacks);
     SeedsReloader seeds(loop, options.settings_path, client);
-    MetricsServer metrics(loop, {settings.ip, options.metrics_port},
-                          [&] { return node.metricsText() + exchange.meter.text() + invariantsText(); });
+    MetricsServer metrics(loop, {settings.ip, options.metrics_port}, [&] {
+        return node.metricsText() + exchange.meter.text() + invariantMetricsText();
+    });
     node.onUsable([&client](bool usable) { client.setDiskFailed(!usable); });
     loop.onSignal(SIGTERM, [&] {
         node.leave([&loop] { loop.stop(); });
@@ -258,7 +260,8 @@
                                node.handleReadiness(request, std::move(respond));
                            });
     MetricsServer metrics(loop, {settings.ip, options.metrics_port}, [&] {
-        return node.countersText() + servers.counters().text() + exchange.meter.text() + invariantsText();
+        return node.countersText() + servers.counters().text() + exchange.meter.text() +
+               invariantMetricsText();
     });
     CoreClient::Callbacks callbacks;
     callbacks.on_configuration = [&](auto configuration) {
--- a/bench/cluster_core_bench.cpp
+++ b/bench/cluster_core_bench.cpp
@@ -43,7 +43,7 @@
     settings.seeds = seeds;
     settings.bootstrap = true;
     EventLoop loop;
-    TcpTransport transport(loop, settings.internal(PortOffset::core));
+    TcpTransport transport(loop, settings.internalAddress(PortOffset::core));
     EvhttpClient cloud(loop);
     RingOptions options;
     options.capacity_bytes = kRingBytes;
--- a/bench/cluster_edge_bench.cpp
+++ b/bench/cluster_edge_bench.cpp
@@ -46,7 +46,7 @@
 
 void measureConfiguration(int runs, int routes) {
     const std::string body = configurationJson(routes);
-    const std::string bytes = encodeUpdate(updateFrom(nullptr, parseConfiguration(body)));
+    const std::string bytes = encodeUpdate(makeUpdate(nullptr, parseConfiguration(body)));
     Series micros;
     for (int run = 0; run < runs; ++run) {
         const double start = ownMicros();
--- a/bench/cluster_message_bench.cpp
+++ b/bench/cluster_message_bench.cpp
@@ -70,7 +70,7 @@
             call.timeout = kTimeout;
             call.max_connections = 64;
             client.send(call, [&taken, done](const HttpOutcome& outcome) {
-                if (outcome.verdict == Verdict::answered && outcome.response.status == 202) ++taken;
+                if (outcome.verdict == CallStatus::answered && outcome.response.status == 202) ++taken;
                 done();
             });
         };
--- a/bench/cluster_store_bench.cpp
+++ b/bench/cluster_store_bench.cpp
@@ -37,7 +37,7 @@
         transport_.serve([](const Envelope& request, const Responder& respond) {
             const auto push = decode<GrantPush>(request.body);
             GrantPushReply none;
-            if (push) none.taken.assign(push->grants.size(), false);
+            if (push) none.accepted.assign(push->grants.size(), false);
             respond(reply(none));
         });
         EdgeSync sync;
--- a/src/cluster/common/callback_plan.cpp
+++ b/src/cluster/common/callback_plan.cpp
@@ -5,10 +5,10 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::uint32_t kReceiverConnections = 64;  // of one receiver, from all dispatchers
-constexpr std::uint32_t kPlannedConnections = kReceiverConnections / 2;
-constexpr std::uint32_t kMostConnections = 8;  // of one receiver, from one dispatcher
-// Enough that one that stands still holds up few call-backs.
+constexpr std::uint32_t kReceiverConnectionLimit = 64;  // that one receiver accepts from all dispatchers
+constexpr std::uint32_t kPlannedConnections = kReceiverConnectionLimit / 2;
+constexpr std::uint32_t kMaxConnectionsPerSender = 8;  // from one dispatcher to one receiver
+// Enough senders that one that stalls delays few callbacks.
 constexpr std::uint32_t kSenders = 8;
 
 }  // namespace
@@ -18,8 +18,9 @@
     CallbackPlan plan;
     plan.all_send = edges <= kPlannedConnections;
     plan.senders = plan.all_send ? edges : kSenders;
-    const std::uint32_t shared = plan.all_send ? kReceiverConnections : kPlannedConnections;
-    plan.connections_each = std::clamp<std::uint32_t>(shared / plan.senders, 1, kMostConnections);
+    const std::uint32_t shared = plan.all_send ? kReceiverConnectionLimit : kPlannedConnections;
+    plan.connections_per_sender =
+        std::clamp<std::uint32_t>(shared / plan.senders, 1, kMaxConnectionsPerSender);
     return plan;
 }
 
--- a/src/cluster/common/callback_plan.hpp
+++ b/src/cluster/common/callback_plan.hpp
@@ -1,6 +1,6 @@
-// How the dispatchers together keep within the connections that a receiver of call-backs takes. Dispatchers
-// and stores compute it from the number of dispatchers that they know, so they agree once that has settled;
-// no messages are needed. Pure logic.
+// Divides the connections that a callback receiver accepts among the dispatchers. Dispatchers and stores
+// compute the plan from the number of dispatchers that they know, so they agree without exchanging messages
+// once that number is stable. Has no side effects.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 namespace amberswitch::cluster {
 
 struct CallbackPlan {
-    bool all_send = true;                // else `senders` of all dispatchers, the same ones for all stores
-    std::uint32_t senders = 0;           // that tell one receiver
-    std::uint32_t connections_each = 1;  // of one sender to one receiver
+    bool all_send = true;       // false: only `senders` of the dispatchers, the same ones for all stores
+    std::uint32_t senders = 0;  // dispatchers that send callbacks to one receiver
+    std::uint32_t connections_per_sender = 1;  // from one sender to one receiver
 };
 
-// Half of a receiver's connections are planned with where not all dispatchers can have one of that half:
-// connections of dispatchers that lost power stand at the receiver for a while, beside those of the processes
-// that follow them.
+// If not every dispatcher can have one connection out of half of a receiver's connections, the plan uses only
+// that half. The other half is a reserve: connections of dispatchers that lost power stay open at the
+// receiver for a while, beside those of the processes that replace them.
 CallbackPlan planCallbacks(std::uint32_t edges);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/client_messages.hpp
+++ b/src/cluster/common/client_messages.hpp
@@ -1,4 +1,4 @@
-// What edges and stores exchange about the messages of clients: accepts, grants, reports and queries.
+// Messages between edges and stores about client messages: accepts, grants, run reports and queries.
 #pragma once
 
 #include <cereal/types/optional.hpp>
@@ -13,14 +13,14 @@
 
 namespace amberswitch::cluster {
 
-// --- Messages of clients -----------------------------------------------------------------------------------
+// --- Client messages ---------------------------------------------------------------------------------------
 enum class Phase : std::uint8_t { pending, completed, dead_letter };
 
-// What is delivered, exactly as it arrived. Never changes after the accept (see Grant).
+// The client's request as it arrived; it is delivered unchanged. Immutable once accepted (see Grant).
 struct MessageContent {
     MessageId id;
-    std::string order_scope;  // Route::orderScope() at the accept
-    std::string service;      // backend of the route at the accept
+    std::string order_scope;  // Route::orderScope() when the message was accepted
+    std::string service;      // backend of the route when the message was accepted
     std::string method;
     std::string host;
     std::string target;  // path and query
@@ -29,7 +29,7 @@
     bool ordered = false;
     std::string callback_url;
     std::int64_t delay_ms = 0;
-    std::int64_t config_generation = 0;  // the one that the accepting edge used
+    std::int64_t config_generation = 0;  // generation that the accepting edge used
     std::string body;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -38,23 +38,24 @@
     }
 };
 
-// A message as replicas keep it. Merging two records of one message: the later phase wins, counts take the
-// maximum; so records may be exchanged in any order, any number of times.
+// A message as replicas store it. Merging two records of one message keeps the later phase and the maximum of
+// each count, so records may be exchanged in any order and any number of times.
 struct MessageRecord {
     MessageContent content;
     PartitionId partition = 0;
-    Epoch epoch = 0;             // of the accept; with sequence the order within the partition
-    std::uint64_t sequence = 0;  // rises within (partition, epoch)
+    Epoch epoch = 0;             // in which it was accepted; (epoch, sequence) orders the partition
+    std::uint64_t sequence = 0;  // increases within (partition, epoch)
     std::int64_t accepted_wall_ms = 0;
     std::int64_t retention_ms = 0;
     std::uint32_t max_failures = 1;  // the route's maxRetries
     Phase phase = Phase::pending;
-    std::uint32_t failures = 0;  // answers of 500 that were read
-    std::string stamp;           // of the run that succeeded
+    std::uint32_t failures = 0;  // number of HTTP 500 responses received
+    std::string stamp;           // response stamp of the successful attempt
     std::int64_t ended_wall_ms = 0;
-    bool callback_done = false;  // or none is owed
-    // The last unfinished message of its order key from older epochs at the accept (epoch 0: none). One of an
-    // older epoch that its owner did not know was never acknowledged, and goes after it.
+    bool callback_done = false;  // also true if the message needs no callback
+    // The last unfinished message with the same order key from an older epoch, as the owner knew it when it
+    // accepted this one (after_epoch 0: none). A message of an older epoch that the owner did not know was
+    // never acknowledged and is ordered after this one.
     Epoch after_epoch = 0;
     std::uint64_t after_sequence = 0;
     template <class Archive>
@@ -64,15 +65,16 @@
     }
 };
 
-// The right to one attempt of one message, or to its call-back, for one edge. Ends with its report.
+// Permits one edge to make one attempt to deliver one message or its callback. Ends when the edge reports the
+// result.
 struct Grant {
-    // As accepted, but for `service` and `config_generation`: where the configuration of that generation, the
-    // newest that the owner had, sends it.
+    // As accepted, except for `service` and `config_generation`: these give the newest configuration that the
+    // owner had and the service to which it routes the message.
     MessageContent content;
     PartitionId partition = 0;
     Epoch epoch = 0;
     std::uint64_t attempt = 0;  // unique within (message, epoch)
-    bool callback = false;      // deliver the call-back, not the message
+    bool callback = false;      // deliver the callback instead of the message
     Phase phase = Phase::pending;
     std::string stamp;
     std::int64_t timeout_ms = 0;  // for this delivery
@@ -82,8 +84,9 @@
     }
 };
 
+// An edge asks the owner of a partition to store a message.
 struct AcceptMessageRequest {
-    std::string edge;  // name
+    std::string edge;  // name of the sender
     NodeAddress edge_address;
     PartitionId partition = 0;
     Epoch epoch = 0;  // of the view that the edge used
@@ -91,7 +94,7 @@
     std::int64_t retention_ms = 0;
     std::uint32_t max_failures = 1;
     std::int64_t timeout_ms = 0;
-    bool wants_grant = true;  // the edge can run it at once
+    bool wants_grant = true;  // the edge can deliver the message at once
     template <class Archive>
     void serialize(Archive& archive) {
         archive(edge, edge_address, partition, epoch, content, retention_ms, max_failures, timeout_ms,
@@ -100,13 +103,13 @@
 };
 enum class AcceptStatus : std::uint8_t {
     stored,     // durable on tolerated + 1 disks
-    not_owner,  // surely not stored: ask the owner of a newer view
-    refused,    // surely not stored: no room, or too few stores for a durable copy
-    unknown,    // may be stored; the edge must not promise anything
+    not_owner,  // certainly not stored: ask the owner in a newer view
+    refused,    // certainly not stored: no space, or too few stores for a durable copy
+    unknown,    // may be stored; the edge must not acknowledge the message
 };
 struct AcceptMessageReply {
     AcceptStatus status = AcceptStatus::unknown;
-    bool granted = false;  // the edge runs it now from the content that it holds
+    bool granted = false;  // the edge delivers the content that it holds now
     Epoch epoch = 0;       // of the grant
     std::uint64_t attempt = 0;
     template <class Archive>
@@ -115,9 +118,10 @@
     }
 };
 
+// The owner of partitions sends grants to an edge.
 struct GrantPush {
     std::string store;
-    Incarnation edge_incarnation = 0;  // of the process that they are for; 0: the store does not know it
+    Incarnation edge_incarnation = 0;  // process that the grants are for; 0: not known to the store
     std::vector<Grant> grants;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -125,21 +129,21 @@
     }
 };
 struct GrantPushReply {
-    std::vector<bool> taken;     // by grant; one not taken was not begun and is the store's again
-    bool other_process = false;  // nothing was taken: the edge has restarted at this address
+    std::vector<bool> accepted;   // one per grant; false: not started, the grant goes back to the store
+    bool edge_restarted = false;  // nothing was accepted: a new edge process runs at this address
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(taken, other_process);
+        archive(accepted, edge_restarted);
     }
 };
 
 enum class RunOutcome : std::uint8_t {
-    completed,       // 2xx with its stamp
-    rejected,        // 422: can never be done
-    failed,          // 500: one attempt used
-    not_run,         // surely never begun (refused, no server, connection refused, edge is stopping)
-    unknown,         // silence, reset, timeout: may have run; no attempt is counted
-    callback_taken,  // 200 or 400 from the receiver of the call-back
+    completed,           // 2xx with a response stamp
+    rejected,            // 422: the message can never be processed
+    failed,              // 500: counts as a failed attempt
+    not_run,             // certainly never started (refused, no server, connection refused, edge is stopping)
+    unknown,             // no response, reset or time-out: may have run; no attempt is counted
+    callback_delivered,  // 200 or 400 from the receiver of the callback
     callback_failed,
 };
 struct RunResult {
@@ -149,14 +153,16 @@
     std::uint64_t attempt = 0;
     RunOutcome outcome = RunOutcome::unknown;
     std::string stamp;
-    bool destination_down = false;  // the connection was refused or timed out: nothing else will get through
-    bool callback_started =
-        false;  // the edge goes on with the call-back itself; a second report tells its end
+    // The connection was refused or timed out, so nothing else would reach this destination either.
+    bool destination_down = false;
+    // The edge delivers the callback itself and reports its outcome in a second result.
+    bool callback_started = false;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(partition, id, epoch, attempt, outcome, stamp, destination_down, callback_started);
     }
 };
+// An edge reports the results of grants to the owner of their partitions.
 struct RunReport {
     std::string edge;
     NodeAddress edge_address;
@@ -167,16 +173,16 @@
     }
 };
 struct RunReportReply {
-    // By result: false where this store does not own the partition; the edge asks the owner of a newer view.
-    std::vector<bool> taken;
+    // One per result: false where this store does not own the partition; the edge then reports to the owner
+    // in a newer view.
+    std::vector<bool> accepted;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(taken);
+        archive(accepted);
     }
 };
 
-// An edge tells each owner of a new view what it is running there; sent also as a heartbeat
-// (edge_heartbeat.hpp).
+// An attempt that an edge has not reported yet.
 struct RunningAttempt {
     PartitionId partition = 0;
     MessageId id;
@@ -188,18 +194,20 @@
         archive(partition, id, attempt, epoch, callback);
     }
 };
+// Sent by an edge to each owner in a new view, with the attempts that it is running for that owner, and
+// periodically as a heartbeat (edge_heartbeat.hpp).
 struct EdgeSync {
     std::string edge;
     std::string zone;
     NodeAddress edge_address;
     Incarnation incarnation = 0;
     Epoch view_epoch = 0;
-    bool leaving = false;  // grant nothing more to it
+    bool leaving = false;  // the store must send it no further grants
     std::vector<RunningAttempt> running;
-    std::int64_t next_within_ms = 0;  // the sender's promise of its next one to this store
+    std::int64_t next_sync_within_ms = 0;  // time within which the edge sends the next one to this store
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(edge, zone, edge_address, incarnation, view_epoch, leaving, running, next_within_ms);
+        archive(edge, zone, edge_address, incarnation, view_epoch, leaving, running, next_sync_within_ms);
     }
 };
 struct EdgeSyncReply {
@@ -210,7 +218,8 @@
     }
 };
 
-struct StateQuery {  // the same for state_query and body_query
+// Request of the kinds state_query, body_query and replica_body.
+struct StateQuery {
     PartitionId partition = 0;
     MessageId id;
     template <class Archive>
--- a/src/cluster/common/codec.hpp
+++ b/src/cluster/common/codec.hpp
@@ -1,4 +1,4 @@
-// Encodes typed messages into envelopes and back.
+// Encodes typed messages into envelopes, and decodes them.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -21,7 +21,7 @@
     return bytes;
 }
 
-// Nothing where the bytes are not a message of this type.
+// Nothing if the bytes are not a message of this type. Ignores bytes after the message.
 template <class Message>
 std::optional<Message> decode(std::string_view bytes) {
     try {
@@ -35,9 +35,9 @@
     }
 }
 
-// As decode(), and nothing where bytes are left over.
+// Like decode(), but also nothing if bytes follow the message.
 template <class Message>
-std::optional<Message> decodeWhole(std::string_view bytes) {
+std::optional<Message> decodeExact(std::string_view bytes) {
     try {
         MemorySource source(bytes);
         cereal::PortableBinaryInputArchive archive(streamFrom(source));
@@ -55,6 +55,7 @@
     return Envelope{static_cast<std::uint16_t>(kind), encode(message)};
 }
 
+// An envelope for a response, which has the kind 0.
 template <class Message>
 Envelope reply(const Message& message) {
     return Envelope{0, encode(message)};
--- a/src/cluster/common/compression.cpp
+++ b/src/cluster/common/compression.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr std::size_t kChunkBytes = 16 * 1024;
-constexpr char kFirstByte = 0x78;  // deflate with a window of 32 KB
+constexpr char kFirstByte = 0x78;  // zlib header byte: deflate with a window of 32 KB
 
 const Bytef* asInput(std::string_view bytes) {
     return reinterpret_cast<const Bytef*>(bytes.data());
 }
 
-// Ends the inflation of a stream, whatever it came to.
+// Owns a zlib inflate stream.
 struct Inflation {
     z_stream stream{};
     Inflation() {
-        if (inflateInit(&stream) != Z_OK) throw std::runtime_error("no memory to decompress");
+        if (inflateInit(&stream) != Z_OK) throw std::runtime_error("zlib: out of memory while decompressing");
     }
     ~Inflation() { inflateEnd(&stream); }
     Inflation(const Inflation&) = delete;
@@ -29,18 +29,18 @@
 
 }  // namespace
 
-std::string compressed(std::string_view bytes) {
+std::string compress(std::string_view bytes) {
     uLongf size = compressBound(static_cast<uLong>(bytes.size()));
     std::string result(size, '\0');
     auto* const output = reinterpret_cast<Bytef*>(result.data());
     const int status =
         compress2(output, &size, asInput(bytes), static_cast<uLong>(bytes.size()), Z_BEST_SPEED);
-    if (status != Z_OK) throw std::runtime_error("no memory to compress");
+    if (status != Z_OK) throw std::runtime_error("zlib: out of memory while compressing");
     result.resize(size);
     return result;
 }
 
-std::optional<std::string> decompressed(std::string_view bytes, std::size_t most_bytes) {
+std::optional<std::string> decompress(std::string_view bytes, std::size_t max_bytes) {
     Inflation inflation;
     z_stream& stream = inflation.stream;
     stream.next_in = const_cast<Bytef*>(asInput(bytes));
@@ -53,10 +53,10 @@
         stream.avail_out = static_cast<uInt>(chunk.size());
         status = inflate(&stream, Z_NO_FLUSH);
         result.append(chunk.data(), chunk.size() - stream.avail_out);
-        if (result.size() > most_bytes) return std::nullopt;
+        if (result.size() > max_bytes) return std::nullopt;
     }
-    const bool whole = status == Z_STREAM_END && stream.avail_in == 0;
-    return whole ? std::optional(std::move(result)) : std::nullopt;
+    const bool is_complete = status == Z_STREAM_END && stream.avail_in == 0;
+    return is_complete ? std::optional(std::move(result)) : std::nullopt;
 }
 
 bool looksCompressed(std::string_view bytes) {
--- a/src/cluster/common/compression.hpp
+++ b/src/cluster/common/compression.hpp
@@ -1,4 +1,4 @@
-// Compressed bytes: what is kept or sent whole though it repeats itself, such as configurations.
+// Compression (zlib) of repetitive data that is stored or sent, such as configurations.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,13 @@
 
 namespace amberswitch::cluster {
 
-// The bytes in zlib's format (RFC 1950), which begins with a byte that no JSON text begins with.
-std::string compressed(std::string_view bytes);
+// Compresses into the zlib format (RFC 1950). Its first byte never starts a JSON text.
+std::string compress(std::string_view bytes);
 
-// What was compressed; nothing where the bytes are damaged or hold more than `most_bytes`.
-std::optional<std::string> decompressed(std::string_view bytes, std::size_t most_bytes);
+// The original bytes; nothing if the input is corrupt or expands to more than `max_bytes`.
+std::optional<std::string> decompress(std::string_view bytes, std::size_t max_bytes);
 
-// Whether the bytes begin like the result of compressed().
+// Whether the first byte is that of the result of compress().
 bool looksCompressed(std::string_view bytes);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/configuration.cpp
+++ b/src/cluster/common/configuration.cpp
@@ -9,7 +9,7 @@
     return std::string(list) + "[" + std::to_string(position) + "]." + member;
 }
 
-// The host of a Host header, without its port, in lower case.
+// The host name of a Host header in lower case, without the port.
 std::string normalizedHost(std::string_view host) {
     const std::size_t after_brackets = host.starts_with('[') ? host.find(']') : 0;
     const std::size_t colon = host.find(':', after_brackets == std::string_view::npos ? 0 : after_brackets);
--- a/src/cluster/common/configuration.hpp
+++ b/src/cluster/common/configuration.hpp
@@ -1,4 +1,5 @@
-// The operator's configuration: routes, services and limits, read from the JSON of POST /Config.Replace.
+// The operator's configuration: routes, services and limits, parsed from the JSON body of POST
+// /Config.Replace.
 #pragma once
 
 #include <cstddef>
@@ -27,29 +28,30 @@
     std::string hostname;
     std::string path_prefix;
     std::string type;     // only "deferred" is served
-    std::string service;  // `backend`
+    std::string service;  // JSON field `backend`
     int priority = 0;     // 0 is the highest
     Millis timeout{0};    // of one delivery
     Millis target_latency{0};
     Millis schedule_target{0};
-    std::uint32_t max_retries = 1;  // answers of 500 that end a message
+    std::uint32_t max_retries = 1;  // number of HTTP 500 responses after which delivery is given up
     bool ordered = false;
     Millis retention{0};
     bool callback = false;
 
     bool operator==(const Route&) const = default;
 
-    // What an order belongs to beside its key: a route may get another name without its order being cut.
+    // The scope of an order key. It does not depend on the route's name, so renaming a route keeps the order
+    // of its messages.
     std::string orderScope() const { return hostname + path_prefix; }
 };
 
 struct Service {
     std::string name;
     std::string health_check;
-    std::uint32_t max_connections = 1;  // of one server, from all dispatchers
-    double rate_per_s = 0;              // 0: no ceiling
+    std::uint32_t max_connections = 1;  // to one server, from all dispatchers together
+    double rate_per_s = 0;              // 0: unlimited
     bool idempotent = false;
-    std::optional<NodeAddress> endpoint;  // `static`: a single server that is on no list
+    std::optional<NodeAddress> endpoint;  // JSON field `static`: the only server, which is on no server list
 
     bool operator==(const Service&) const = default;
 };
@@ -63,7 +65,7 @@
     bool operator==(const HttpLimits&) const = default;
 };
 
-// Read-only once parsed, so that one copy can be shared (std::shared_ptr<const Configuration>).
+// Immutable after parsing, so that one copy can be shared (std::shared_ptr<const Configuration>).
 class Configuration {
 public:
     std::int64_t generation = 0;
@@ -71,20 +73,22 @@
     std::vector<Service> services;
     HttpLimits limits;
 
-    // The route of that host (port ignored, case ignored) with the longest prefix of the path, or null.
+    // The route of `host` (port and case are ignored) with the longest matching path prefix; null if none
+    // matches.
     const Route* match(std::string_view host, std::string_view path) const;
+    // Null if there is none of that name.
     const Route* route(std::string_view name) const;
     const Service* service(std::string_view name) const;
 
-    // Prepares match(), route() and service(). parseConfiguration() has done it; call it after filling
-    // `routes` or `services` by hand. Throws ConfigurationError for a name, or a host and prefix, that occurs
-    // twice.
+    // Builds the indexes that match(), route() and service() use. Call it after changing `routes` or
+    // `services`; parseConfiguration() does so itself. Throws ConfigurationError for a duplicate name, or a
+    // duplicate pair of host and path prefix.
     void buildIndexes();
-    // Throws ConfigurationError for a route whose service is not among `services`.
+    // Throws ConfigurationError if a route names a service that is not in `services`.
     void checkServicesExist() const;
 
 private:
-    // Lets the maps be searched with a std::string_view.
+    // Transparent hash, for lookups with a std::string_view.
     struct TextHash {
         using is_transparent = void;
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
@@ -93,7 +97,7 @@
 
     struct HostRoutes {
         PositionByText by_prefix;
-        std::vector<std::size_t> prefix_lengths;  // each length that occurs, longest first
+        std::vector<std::size_t> prefix_lengths;  // the distinct lengths, longest first
     };
     using RoutesByHost = std::unordered_map<std::string, HostRoutes, TextHash, std::equal_to<>>;
 
@@ -105,8 +109,8 @@
     PositionByText service_by_name_;
 };
 
-// Checks against the JSON schema (valijson) and the rules between fields; unknown fields are ignored. Whether
-// `generation` rises is for the register to check. Throws ConfigurationError.
+// Validates the JSON against the schema (valijson) and the rules between fields; unknown fields are ignored.
+// Does not check that `generation` increases: the register does. Throws ConfigurationError.
 Configuration parseConfiguration(const std::string& json);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/configuration_parser.cpp
+++ b/src/cluster/common/configuration_parser.cpp
@@ -1,4 +1,4 @@
-// parseConfiguration: JSON text to Configuration, by way of the schema.
+// Implements parseConfiguration(): validates the JSON text against the schema and builds a Configuration.
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
 
@@ -23,10 +23,10 @@
 using JsonAdapter = valijson::adapters::RapidJsonAdapter;
 
 constexpr const char* kDeferred = "deferred";
-constexpr double kMostMillis = 1e12;  // some 30 years: no overflow in any unit of time
+constexpr double kMaxMillis = 1e12;  // about 30 years; does not overflow in any unit of time
 constexpr double kMillisPerSecond = 1000;
 
-// Without recursion, so that deep nesting can't exhaust the stack.
+// Iterative parsing, so that deep nesting cannot exhaust the stack.
 constexpr unsigned kParseFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag |
                                  rapidjson::kParseFullPrecisionFlag;
 
@@ -44,7 +44,7 @@
     return *schema;
 }
 
-// valijson's path "<root>", "[routes]", "[2]", "[timeoutMs]" as "routes[2].timeoutMs".
+// Converts valijson's context "<root>", "[routes]", "[2]", "[timeoutMs]" to "routes[2].timeoutMs".
 std::string fieldPath(const std::vector<std::string>& context) {
     std::string path;
     for (const std::string& step : context) {
@@ -64,8 +64,8 @@
     valijson::ValidationResults results;
     valijson::Validator validator;
     validator.validate(configurationSchema(), JsonAdapter(document), &results);
-    valijson::ValidationResults::Error
-        first;  // the innermost one; those that follow repeat it for its parents
+    // The innermost error; the errors that follow repeat it for the enclosing values.
+    valijson::ValidationResults::Error first;
     results.popError(first);
     throw ConfigurationError(fieldPath(first.context), first.description);
 }
@@ -76,7 +76,7 @@
     if (!valid) throwSchemaError(document);
 }
 
-// The member of that name, or null if there is none or it is null.
+// Null if the member is missing or its value is null.
 const JsonValue* member(const JsonValue& object, const char* name) {
     const auto found = object.FindMember(name);
     if (found == object.MemberEnd() || found->value.IsNull()) return nullptr;
@@ -100,13 +100,13 @@
 }
 
 std::uint32_t countOf(const JsonValue& object, const char* name, std::uint32_t fallback) {
-    constexpr double kMost = std::numeric_limits<std::uint32_t>::max();
-    return static_cast<std::uint32_t>(std::min(numberOf(object, name, fallback), kMost));
+    constexpr double kMax = std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(std::min(numberOf(object, name, fallback), kMax));
 }
 
-// Rounds up, so that a time above 0 stays above 0.
+// Rounds up, so that a positive time does not become 0.
 Millis millisFrom(double millis) {
-    return Millis(static_cast<Millis::rep>(std::ceil(std::min(millis, kMostMillis))));
+    return Millis(static_cast<Millis::rep>(std::ceil(std::min(millis, kMaxMillis))));
 }
 
 Millis millisOf(const JsonValue& object, const char* name, Millis fallback) {
@@ -131,7 +131,7 @@
     return route;
 }
 
-// What a message can't be kept without is required of deferred routes only.
+// Checks the fields that are required of deferred routes only, whose messages are stored.
 void checkDeferred(const JsonValue& json, const std::string& field) {
     for (const char* name : {"maxRetries", "retentionS"}) {
         if (member(json, name) == nullptr) {
--- a/src/cluster/common/configuration_schema.hpp
+++ b/src/cluster/common/configuration_schema.hpp
@@ -3,8 +3,9 @@
 
 namespace amberswitch::cluster {
 
-// Holds what each field must look like by itself. Rules between fields are in configuration.cpp. Fields that
-// the schema doesn't name are allowed. Whole numbers may be written with a fraction of 0 (7.0).
+// Constrains each field by itself; configuration.cpp and configuration_parser.cpp check the rules between
+// fields. Fields that the schema does not name are allowed. Integers may be written with a fraction of 0
+// (7.0).
 extern const char* const kConfigurationSchema;
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/configuration_update.cpp
+++ b/src/cluster/common/configuration_update.cpp
@@ -11,7 +11,7 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kMostUpdateBytes = 64 * 1024 * 1024;  // decompressed
+constexpr std::size_t kMaxUpdateBytes = 64 * 1024 * 1024;  // after decompression
 
 const Route* findByName(const Configuration& in, const Route& route) {
     return in.route(route.name);
@@ -20,7 +20,7 @@
     return in.service(service.name);
 }
 
-// The entries of `next` that `base` lacks or has in another form.
+// The entries of `next` that are missing from `base` or differ there.
 template <class Entry>
 std::vector<Entry> changedEntries(const Configuration* base, const std::vector<Entry>& next) {
     std::vector<Entry> changed;
@@ -40,17 +40,17 @@
     return removed;
 }
 
-// Entries keep their places; new ones come last.
+// Existing entries keep their positions; new ones are appended.
 template <class Entry>
 void applyEntries(std::vector<Entry>& entries, const std::vector<std::string>& removed,
                   const std::vector<Entry>& changed) {
-    const std::unordered_set<std::string> gone(removed.begin(), removed.end());
-    std::erase_if(entries, [&](const Entry& entry) { return gone.contains(entry.name); });
-    std::unordered_map<std::string, std::size_t> places;
-    for (std::size_t i = 0; i < entries.size(); ++i) places.emplace(entries[i].name, i);
+    const std::unordered_set<std::string> removed_names(removed.begin(), removed.end());
+    std::erase_if(entries, [&](const Entry& entry) { return removed_names.contains(entry.name); });
+    std::unordered_map<std::string, std::size_t> positions;
+    for (std::size_t i = 0; i < entries.size(); ++i) positions.emplace(entries[i].name, i);
     for (const Entry& entry : changed) {
-        const auto found = places.find(entry.name);
-        if (found == places.end()) {
+        const auto found = positions.find(entry.name);
+        if (found == positions.end()) {
             entries.push_back(entry);
         } else {
             entries[found->second] = entry;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-ConfigurationUpdate updateFrom(const Configuration* base, const Configuration& next) {
+ConfigurationUpdate makeUpdate(const Configuration* base, const Configuration& next) {
     ConfigurationUpdate update;
     update.generation = next.generation;
     update.routes = changedEntries(base, next.routes);
@@ -76,7 +76,7 @@
 Configuration applyUpdate(const Configuration* base, const ConfigurationUpdate& update) {
     const bool whole = update.base_generation == 0;
     if (!whole && (base == nullptr || base->generation != update.base_generation)) {
-        throw ConfigurationError("base", "the update rests on another configuration");
+        throw ConfigurationError("base", "the update applies to another base configuration");
     }
     Configuration next;
     if (!whole) {
@@ -93,13 +93,13 @@
 }
 
 std::string encodeUpdate(const ConfigurationUpdate& update) {
-    return compressed(encode(update));
+    return compress(encode(update));
 }
 
 std::optional<ConfigurationUpdate> decodeUpdate(std::string_view bytes) {
-    const std::optional<std::string> plain = decompressed(bytes, kMostUpdateBytes);
+    const std::optional<std::string> plain = decompress(bytes, kMaxUpdateBytes);
     if (!plain) return std::nullopt;
-    return decodeWhole<ConfigurationUpdate>(*plain);
+    return decodeExact<ConfigurationUpdate>(*plain);
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/configuration_update.hpp
+++ b/src/cluster/common/configuration_update.hpp
@@ -1,5 +1,5 @@
-// The difference between two configurations, as core machines hand it out to dispatchers. A whole
-// configuration is the difference from none.
+// The difference between two configurations, as core machines send it to dispatchers. A complete
+// configuration is sent as the difference from an empty one.
 #pragma once
 
 #include <cereal/types/optional.hpp>
@@ -15,7 +15,7 @@
 
 namespace amberswitch::cluster {
 
-// Reads or writes a time as its count of milliseconds.
+// Serialises a duration as its number of milliseconds.
 template <class Archive>
 void archiveMillis(Archive& archive, Millis& time) {
     std::int64_t count = time.count();
@@ -41,9 +41,9 @@
     for (Millis* time : {&limits.header_timeout, &limits.idle_timeout}) archiveMillis(archive, *time);
 }
 
-// Names are unique in a configuration, so each route and service is known by its name.
+// Identifies routes and services by name; names are unique within a configuration.
 struct ConfigurationUpdate {
-    std::int64_t base_generation = 0;  // 0: a whole configuration
+    std::int64_t base_generation = 0;  // 0: a complete configuration
     std::int64_t generation = 0;
     std::vector<std::string> removed_routes;
     std::vector<std::string> removed_services;
@@ -56,15 +56,16 @@
     }
 };
 
-// `base` null: the whole of `next`.
-ConfigurationUpdate updateFrom(const Configuration* base, const Configuration& next);
+// The update from `base` to `next`; the complete `next` if `base` is null.
+ConfigurationUpdate makeUpdate(const Configuration* base, const Configuration& next);
 
-// `base` may be null for a whole configuration only. Throws ConfigurationError where the update rests on
-// another base or leads to something invalid.
+// `base` may be null only if the update holds a complete configuration. Throws ConfigurationError if the
+// update was made from another base, or if the result is invalid.
 Configuration applyUpdate(const Configuration* base, const ConfigurationUpdate& update);
 
-// As bytes, compressed. Nothing where the bytes are not an update.
+// Compressed encoding of an update.
 std::string encodeUpdate(const ConfigurationUpdate& update);
+// Nothing if the bytes are not an encoded update.
 std::optional<ConfigurationUpdate> decodeUpdate(std::string_view bytes);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/control_messages.hpp
+++ b/src/cluster/common/control_messages.hpp
@@ -1,4 +1,5 @@
-// What the control plane exchanges: the register, the leader lease, membership, and what is distributed.
+// Messages of the control plane: the replicated register, the leader lease, membership, and distribution of
+// configurations, server lists and store views.
 #pragma once
 
 #include <cereal/types/optional.hpp>
@@ -17,7 +18,7 @@
 enum class NodeKind : std::uint8_t { core, edge, store };
 
 // --- The register ------------------------------------------------------------------------------------------
-// Orders proposals; ties in the round go to the larger node name.
+// Orders proposals; between equal rounds the larger node name wins.
 struct Ballot {
     std::uint64_t round = 0;
     std::string node;
@@ -28,10 +29,11 @@
     }
 };
 
-// Who votes on the register. Versions rise by one with each change, which adds or removes one machine.
+// The machines that vote on the register. Each change adds or removes one machine and increases the version
+// by one.
 struct VoterSet {
-    std::uint64_t version = 0;           // 0: the voters of the first start
-    std::vector<NodeAddress> addresses;  // internal; empty: not known
+    std::uint64_t version = 0;           // 0: the voters at the first start
+    std::vector<NodeAddress> addresses;  // internal addresses; empty: not known
     bool operator==(const VoterSet&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -40,8 +42,8 @@
 };
 
 // A register is named by a short key: "config" (ConfigurationState), "view" (StoreView) or "voters"
-// (VoterSet), encoded by cereal. Requests carry the voters whose majority the proposer counts; a voter
-// refuses an older version than the newest that it knows, and tells that one.
+// (VoterSet); its value is encoded by cereal. Requests carry the voter set whose majority the proposer
+// counts. A voter rejects a version older than the newest that it knows, and returns the newest one.
 struct PrepareRequest {
     std::string key;
     Ballot ballot;
@@ -52,12 +54,12 @@
     }
 };
 struct PrepareReply {
-    bool voter = false;  // false: this core machine lost its disk and must not vote yet
+    bool voter = false;  // false: this core machine lost its disk and may not vote yet
     bool promised = false;
     Ballot highest;   // the highest ballot promised or accepted here
     Ballot accepted;  // round 0: nothing accepted yet
     std::string value;
-    std::optional<VoterSet> newer_voters{};  // the request's are out of date
+    std::optional<VoterSet> newer_voters{};  // set where the request's voters are out of date
     template <class Archive>
     void serialize(Archive& archive) {
         archive(voter, promised, highest, accepted, value, newer_voters);
@@ -77,13 +79,13 @@
     bool voter = false;
     bool accepted = false;
     Ballot highest;
-    std::optional<VoterSet> newer_voters{};  // the request's are out of date
+    std::optional<VoterSet> newer_voters{};  // set where the request's voters are out of date
     template <class Archive>
     void serialize(Archive& archive) {
         archive(voter, accepted, highest, newer_voters);
     }
 };
-// A ballot known to be chosen. The value is left out where the receiver probably has accepted it itself.
+// Announces a chosen ballot. The value is omitted where the receiver has probably accepted it itself.
 struct ChosenNotice {
     std::string key;
     Ballot ballot;  // round 0: none known
@@ -93,17 +95,17 @@
         archive(key, ballot, value);
     }
 };
-// What the caller knows of one key.
+// The caller's state of one register.
 struct KnownRegister {
     std::string key;
     Ballot chosen;
-    Ballot accepted;  // by the caller itself: it has that value
+    Ballot accepted;  // accepted by the caller itself, which therefore has the value
     template <class Archive>
     void serialize(Archive& archive) {
         archive(key, chosen, accepted);
     }
 };
-// Asks a core machine for newer chosen values, and for its accepted ballots (a read index).
+// Asks a core machine for newer chosen values and for its accepted ballots, which serve as a read index.
 struct ReadChosenRequest {
     std::uint64_t voters_version = 0;
     std::vector<KnownRegister> known;
@@ -114,16 +116,16 @@
 };
 struct RegisterReport {
     Ballot accepted;      // the highest that this machine accepted, chosen or not
-    ChosenNotice chosen;  // with the value where it is newer than what the caller has
+    ChosenNotice chosen;  // includes the value where it is newer than the caller's
     template <class Archive>
     void serialize(Archive& archive) {
         archive(accepted, chosen);
     }
 };
 struct ReadChosenReply {
-    bool voter = false;  // has its data and is among the newest voters that it knows
+    bool voter = false;  // has its data and belongs to the newest voter set that it knows
     std::uint64_t voters_version = 0;
-    std::optional<VoterSet> newer_voters{};  // the caller's are out of date
+    std::optional<VoterSet> newer_voters{};  // set where the caller's voters are out of date
     std::vector<RegisterReport> registers;   // in the order of the request
     template <class Archive>
     void serialize(Archive& archive) {
@@ -132,12 +134,13 @@
 };
 
 // --- The leader lease --------------------------------------------------------------------------------------
+// A candidate for the leadership asks a core machine for its vote, which holds for `duration_ms`.
 struct LeaderLeaseRequest {
     std::string candidate;
     Incarnation incarnation = 0;
-    std::int64_t duration_ms = 0;      // 0 gives the lease back
-    std::uint64_t round = 0;           // rises with each asking; what is given back is up to this round
-    std::uint64_t voters_version = 0;  // of the voters that the candidate asks
+    std::int64_t duration_ms = 0;  // 0 releases the lease
+    std::uint64_t round = 0;       // increases with each request; a release covers all rounds up to this one
+    std::uint64_t voters_version = 0;  // of the voter set that the candidate asks
     template <class Archive>
     void serialize(Archive& archive) {
         archive(candidate, incarnation, duration_ms, round, voters_version);
@@ -145,7 +148,7 @@
 };
 struct LeaderLeaseReply {
     bool granted = false;
-    std::string holder;  // who holds this grantor's vote now
+    std::string holder;  // candidate that holds this grantor's vote now
     template <class Archive>
     void serialize(Archive& archive) {
         archive(granted, holder);
@@ -153,29 +156,32 @@
 };
 
 // --- Membership --------------------------------------------------------------------------------------------
+// A process of the cluster, as it describes itself when it renews its lease.
 struct Member {
     std::string name;
     NodeKind kind = NodeKind::edge;
     std::string zone;
     NodeAddress address;  // internal
     Incarnation incarnation = 0;
-    bool leaving = false;  // a planned end has begun
-    // Stores: started without its data, not at the first start of the system. Core machines: does not have
-    // the register's data and can't become a voter yet.
+    bool leaving = false;  // a planned shutdown has begun
+    // Store: started without its data, although this is not the first start of the system. Core machine:
+    // lacks the register's data and cannot become a voter yet.
     bool disk_empty = false;
-    bool bootstrap = false;  // the settings say that the whole system starts for the first time
-    // Writes or syncs fail there now. It answers, but is no copy, no owner and no voter until that is over.
+    bool bootstrap = false;  // set in the settings file: the whole system starts for the first time
+    // Writes or syncs currently fail. The process answers, but holds no counted copy, owns no partition and
+    // does not vote until its disk works again.
     bool disk_failed = false;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(name, kind, zone, address, incarnation, leaving, disk_empty, bootstrap, disk_failed);
     }
 };
+// Sent by each process to the core machines to remain a member.
 struct RenewLeaseRequest {
     Member member;
     Epoch view_epoch = 0;
     std::int64_t config_generation = 0;
-    std::uint64_t core_digest = 0;  // of the core machines that the answering one told last; 0: none yet
+    std::uint64_t core_digest = 0;  // of the core list in the addressed machine's last reply; 0: none yet
     template <class Archive>
     void serialize(Archive& archive) {
         archive(member, view_epoch, config_generation, core_digest);
@@ -183,12 +189,12 @@
 };
 struct RenewLeaseReply {
     bool leader = false;            // the answering core machine acts as leader
-    std::string leader_name;        // as far as it knows
-    std::vector<NodeAddress> core;  // empty where its digest is the one in the request
+    std::string leader_name;        // as far as the answering machine knows
+    std::vector<NodeAddress> core;  // core machines; empty if the digest equals the request's
     std::uint64_t core_digest = 0;
-    // Of the dispatcher that renews; no edges: this machine has not listened long enough.
+    // Share of the renewing dispatcher; `edges` is 0 until this machine has listened long enough to know all.
     EdgeShare share{0, 0, 0};
-    // What this machine can hand out; 0 where it has no confirmation from a majority.
+    // Newest versions that this machine can distribute; 0 where a majority has not confirmed any.
     std::int64_t config_generation = 0;
     Epoch view_epoch = 0;
     std::string zone;  // of the answering machine
@@ -198,25 +204,26 @@
     }
 };
 
-// --- What is distributed -----------------------------------------------------------------------------------
-// The operator's configuration: its bytes, and the versions taken before so that a repeat is known again.
-struct TakenChange {
+// --- Distributed state -------------------------------------------------------------------------------------
+// A configuration change that was accepted. Kept so that a repeated request is recognised.
+struct AcceptedChange {
     std::int64_t generation = 0;
     std::int64_t base = 0;
     std::uint64_t digest = 0;  // xxhash64 of the body
-    auto operator<=>(const TakenChange&) const = default;
+    auto operator<=>(const AcceptedChange&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(generation, base, digest);
     }
 };
+// The operator's configuration and the changes that led to it.
 struct ConfigurationState {
-    std::int64_t generation = 0;  // 0: none taken yet
+    std::int64_t generation = 0;  // 0: no configuration has been accepted yet
     std::string body;             // JSON, as the operator sent it
-    std::vector<TakenChange> taken;
+    std::vector<AcceptedChange> accepted_changes;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(generation, body, taken);
+        archive(generation, body, accepted_changes);
     }
 };
 
@@ -235,7 +242,7 @@
         archive(uid, service, address, zone, capacity, draining, warmup_remaining_ms);
     }
 };
-// Versions order first by the leader's term, then by its count.
+// Ordered by the leader's term, then by the leader's count.
 struct ServerListVersion {
     std::uint64_t term = 0;
     std::uint64_t count = 0;
@@ -254,24 +261,25 @@
     }
 };
 
-// Which store owns which partition. Changed only through the register, by the leader.
+// A store in the StoreView.
 struct StoreMember {
     Member member;
-    bool alive = true;     // renews its lease, does not leave, and its disk works
-    Epoch away_epoch = 0;  // not alive: the first view of this absence
-    // The view with which it came (0: the first one), and the process it had then. What it was given before
-    // counts no more.
+    bool alive = true;             // renews its lease, is not leaving, and its disk works
+    Epoch absent_since_epoch = 0;  // if not alive: the first view without it
+    // The view in which the store joined (0: the first view) and its process at that time. Copies that it
+    // received before joining no longer count.
     Epoch joined_epoch = 0;
     Incarnation joined_incarnation = 0;
-    bool retire_ordered = false;  // by the operator; the leader's next view obeys
-    bool retiring = false;        // owns nothing and is given no copies, but still answers
+    bool retirement_requested = false;  // by the operator; takes effect in the leader's next view
+    bool retiring = false;              // owns no partition and receives no copies, but still answers
     bool keepsCopies() const { return alive && !retiring; }
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(member, alive, away_epoch, joined_epoch, joined_incarnation, retire_ordered, retiring);
+        archive(member, alive, absent_since_epoch, joined_epoch, joined_incarnation, retirement_requested,
+                retiring);
     }
 };
-// A store that was emptied and has left the view for good; this process of it does not come back.
+// A store that was drained and removed from the view permanently; this process of it cannot rejoin.
 struct RetiredStore {
     std::string name;
     Incarnation incarnation = 0;
@@ -281,16 +289,17 @@
     }
 };
 struct PartitionOwner {
-    std::int32_t owner = -1;     // index into stores; -1: none alive
-    std::int32_t previous = -1;  // owner in the view before
-    // The previous owner has surely stopped (planned end, or its process is gone); else its rate-limited
-    // grants may go on for kStoreLease after this view was made.
+    std::int32_t owner = -1;     // index into StoreView::stores; -1: no store alive
+    std::int32_t previous = -1;  // owner in the preceding view
+    // The previous owner has certainly stopped (planned shutdown, or its process has ended). Otherwise it may
+    // go on issuing rate-limited grants for kStoreLease after this view was made.
     bool previous_stopped = true;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(owner, previous, previous_stopped);
     }
 };
+// Assigns each partition to a store. Changed only by the leader, through the register.
 struct StoreView {
     Epoch epoch = 0;
     std::uint64_t leader_term = 0;
@@ -298,14 +307,14 @@
     std::uint32_t tolerated = 1;  // faultTolerance.machines
     std::vector<StoreMember> stores;
     std::vector<PartitionOwner> partitions;
-    std::vector<RetiredStore> retired;  // the latest ones, newest last
+    std::vector<RetiredStore> retired;  // the most recent ones, newest last
     template <class Archive>
     void serialize(Archive& archive) {
         archive(epoch, leader_term, leader, tolerated, stores, partitions, retired);
     }
 };
 
-// Asks for the newest configuration as a quorum of the core has it.
+// Asks for the newest configuration, read from a quorum of the core machines.
 struct ReadConfigurationRequest {
     std::string name;
     template <class Archive>
@@ -313,14 +322,14 @@
         archive(name);
     }
 };
-enum class ConfigurationRead : std::uint8_t {
-    newest,    // `body` holds it, whole
-    none_yet,  // none has been taken
+enum class ConfigurationReadStatus : std::uint8_t {
+    newest,    // `body` holds the complete configuration
+    none_yet,  // no configuration has been accepted
     unreadable,
     not_known,  // no quorum answered in time
 };
 struct ReadConfigurationReply {
-    ConfigurationRead status = ConfigurationRead::not_known;
+    ConfigurationReadStatus status = ConfigurationReadStatus::not_known;
     std::string body;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -328,29 +337,29 @@
     }
 };
 
-// The configuration that a dispatcher has in force; generation 0: none.
-struct KnownConfiguration {
+// Identifies the configuration that a dispatcher uses; generation 0: none.
+struct ConfigurationVersion {
     std::int64_t generation = 0;
-    std::uint64_t digest = 0;  // xxhash64 of the operator's body
-    auto operator<=>(const KnownConfiguration&) const = default;
+    std::uint64_t digest = 0;  // xxhash64 of the body that the operator sent
+    auto operator<=>(const ConfigurationVersion&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(generation, digest);
     }
 };
-// How much of an update a dispatcher has received so far.
+// The part of an update that a dispatcher has received so far.
 struct UpdateProgress {
-    std::uint64_t update_digest = 0;  // 0: nothing
+    std::uint64_t update_digest = 0;  // 0: nothing received
     std::uint64_t received_bytes = 0;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(update_digest, received_bytes);
     }
 };
-// A part of the update (configuration_update.hpp) that leads from the base to `configuration`.
+// One page of the encoded update (configuration_update.hpp) from the base to `configuration`.
 struct ConfigurationPage {
-    std::int64_t base_generation = 0;  // 0: the whole configuration
-    KnownConfiguration configuration;
+    std::int64_t base_generation = 0;  // 0: the update holds the complete configuration
+    ConfigurationVersion configuration;
     std::uint64_t update_digest = 0;  // xxhash64 of all pages' bytes
     std::uint64_t total_bytes = 0;    // of all pages
     std::uint64_t offset = 0;
@@ -361,14 +370,14 @@
     }
 };
 
-// Held by the core until something is newer than what the caller has, or max_wait_ms has passed.
+// Long poll: the core machine answers once it has something newer than the caller, or after max_wait_ms.
 struct WatchRequest {
     std::string name;
-    std::int64_t config_generation = 0;  // the newest seen, usable or not
+    std::int64_t config_generation = 0;  // the newest received, usable or not
     ServerListVersion servers;
     Epoch view_epoch = 0;
     std::int64_t max_wait_ms = 0;
-    KnownConfiguration config_base{};  // what an update may rest on
+    ConfigurationVersion config_base{};  // version to which an update may be applied
     UpdateProgress config_progress{};
     template <class Archive>
     void serialize(Archive& archive) {
--- a/src/cluster/common/edge_heartbeat.hpp
+++ b/src/cluster/common/edge_heartbeat.hpp
@@ -1,18 +1,20 @@
-// How often an edge tells a store what it runs. The edge promises the time of its next edge_sync in each one,
-// and stores count silence from that promise alone, so that the two can't drift apart.
+// Intervals and time-outs of the heartbeats (EdgeSync) from edges to stores. Each EdgeSync announces the time
+// until the next one, and stores derive their time-outs only from that, so that both sides always use the
+// same interval.
 #pragma once
 
 #include "cluster/common/types.hpp"
 
 namespace amberswitch::cluster {
 
-// Between two edge_sync to a store for which the edge runs something, or of the edge's own region.
-constexpr Millis kEdgeHeartbeat{1000};
-// An edge that runs nothing for a store of another region sends it only each so many heartbeats.
-constexpr std::int64_t kHeartbeatsWhileIdle = 2;
-// What an edge_sync may take on its way beyond the promise before its sender counts as silent.
-constexpr Millis kHeartbeatSlack{500};
-// The same before nothing is expected of it any more.
-constexpr Millis kHeartbeatGone{1500};
+// To a store for which the edge runs something, or which is in the edge's own region.
+constexpr Millis kEdgeHeartbeatInterval{1000};
+// Number of heartbeat intervals between heartbeats to a store of another region for which the edge runs
+// nothing.
+constexpr std::int64_t kRemoteIdleHeartbeatFactor = 2;
+// How far an EdgeSync may be overdue before its sender counts as silent.
+constexpr Millis kEdgeSilentSlack{500};
+// How far an EdgeSync may be overdue before its sender counts as gone.
+constexpr Millis kEdgeGoneSlack{1500};
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/edge_share.hpp
+++ b/src/cluster/common/edge_share.hpp
@@ -1,4 +1,4 @@
-// A dispatcher's place among all dispatchers, by which they share what servers take.
+// A dispatcher's rank among all dispatchers, by which they divide the capacity of the servers.
 #pragma once
 
 #include <compare>
@@ -7,9 +7,9 @@
 namespace amberswitch::cluster {
 
 struct EdgeShare {
-    std::uint32_t edges = 1;         // how many dispatchers there are
-    std::uint32_t region_edges = 1;  // those of its own region
-    std::uint32_t region_rank = 0;   // its place among these, from 0, in the order of zones and names
+    std::uint32_t edges = 1;         // number of dispatchers
+    std::uint32_t region_edges = 1;  // number of dispatchers in its region
+    std::uint32_t region_rank = 0;   // its rank among these, from 0, ordered by zone and name
     auto operator<=>(const EdgeShare&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
--- a/src/cluster/common/evhttp_client.cpp
+++ b/src/cluster/common/evhttp_client.cpp
@@ -124,7 +124,7 @@
 }
 
 void EvhttpClient::refuse(std::function<void(HttpOutcome)> done) {
-    loop_.post([done = std::move(done)] { done(HttpOutcome{Verdict::not_executed, false, false, {}}); });
+    loop_.post([done = std::move(done)] { done(HttpOutcome{CallStatus::not_executed, false, false, {}}); });
 }
 
 std::size_t EvhttpClient::connectionsTo(const NodeAddress& address) const {
@@ -198,7 +198,7 @@
     } catch (const std::invalid_argument&) {
         evhttp_request_free(message);
         retire(connection);
-        return finish(connection, HttpOutcome{Verdict::not_executed, false, false, {}});
+        return finish(connection, HttpOutcome{CallStatus::not_executed, false, false, {}});
     }
     evkeyvalq* headers = evhttp_request_get_output_headers(message);
     if (!request.body.empty() && evhttp_find_header(headers, "Content-Length") == nullptr) {
@@ -229,7 +229,7 @@
     if (!connection.connected) return failed(connection);
     checkNothingDropped(connection);
     retire(connection);
-    finish(connection, HttpOutcome{Verdict::unknown, false, true, {}});
+    finish(connection, HttpOutcome{CallStatus::unknown, false, true, {}});
 }
 
 void EvhttpClient::onResponse(evhttp_request* response, void* connection) {
@@ -261,7 +261,7 @@
     } else {
         keep(connection, answer.headers);
     }
-    finish(connection, HttpOutcome{Verdict::answered, false, false, std::move(answer)});
+    finish(connection, HttpOutcome{CallStatus::answered, false, false, std::move(answer)});
 }
 
 bool EvhttpClient::isOwn(const Connection& connection, const HttpResponse& answer) {
@@ -317,7 +317,7 @@
     checkNothingDropped(connection);
     retire(connection);
     finish(connection,
-           HttpOutcome{connected ? Verdict::unknown : Verdict::not_executed, !connected, false, {}});
+           HttpOutcome{connected ? CallStatus::unknown : CallStatus::not_executed, !connected, false, {}});
 }
 
 void EvhttpClient::keep(Connection& connection, const HttpHeaders& headers) {
--- a/src/cluster/common/http.hpp
+++ b/src/cluster/common/http.hpp
@@ -47,8 +47,8 @@
 };
 
 struct HttpOutcome {
-    Verdict verdict = Verdict::unknown;  // not_executed: refused, no connection in time, or none free
-    bool unreachable = false;            // no connection could be made
+    CallStatus verdict = CallStatus::unknown;  // not_executed: refused, no connection in time, or none free
+    bool unreachable = false;                  // no connection could be made
     bool timed_out = false;
     HttpResponse response;  // only where verdict is answered
 };
--- a/src/cluster/common/invariant.cpp
+++ b/src/cluster/common/invariant.cpp
@@ -37,15 +37,15 @@
     return violations.at(indexOf(invariant));
 }
 
-std::uint64_t invariantViolations() {
+std::uint64_t totalInvariantViolations() {
     return std::accumulate(violations.begin(), violations.end(), std::uint64_t{0});
 }
 
-void forgetInvariantViolations() {
+void resetInvariantViolations() {
     for (std::atomic<std::uint64_t>& count : violations) count = 0;
 }
 
-std::string invariantsText() {
+std::string invariantMetricsText() {
     MetricsText text("invariant_violations_");
     for (std::size_t index = 0; index < kInvariants; ++index)
         text.add(kNames.at(index), violations.at(index));
--- a/src/cluster/common/messages.hpp
+++ b/src/cluster/common/messages.hpp
@@ -1,5 +1,5 @@
 // Every message that the cluster's processes exchange, as plain structs with cereal serialisation.
-// docs/system.md tells who sends which and what each one promises.
+// docs/system.md describes who sends each message and what it guarantees.
 #pragma once
 
 #include <cstdint>
@@ -33,14 +33,14 @@
     replicate,
     pull_partition,
     peering_done,
-    replica_body,  // store -> store: StateQuery, answered by any replica that holds the body
+    replica_body,  // StateQuery, answered by any replica that holds the body
     // core -> store
     peering_progress,
     // edge -> core
     read_configuration,
 };
 
-// As in the figures of a process; "other" for a kind that is not named above.
+// The name used in metrics; "other" for a value that is not an enumerator.
 std::string_view nameOf(MessageKind kind);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/next_response.cpp
+++ b/src/cluster/common/next_response.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 constexpr int kAtFront = 1;
-constexpr const char* kNeverSent = "/";
+constexpr const char* kDiscardedTarget = "/";
 
 }  // namespace
 
 bool readNextResponse(evhttp_connection* connection, evhttp_request* message, evhttp_cmd_type method) {
-    if (evhttp_make_request(connection, message, method, kNeverSent) != 0) return false;
+    if (evhttp_make_request(connection, message, method, kDiscardedTarget) != 0) return false;
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
     evbuffer* const output = bufferevent_get_output(stream);
     evbuffer_unfreeze(output, kAtFront);
     evbuffer_drain(output, evbuffer_get_length(output));
     evbuffer_freeze(output, kAtFront);
-    writeSoon(stream);  // evhttp begins to read once it has written
+    writeSoon(stream);  // evhttp starts to read after it has written
     return true;
 }
 
--- a/src/cluster/common/node_locations.hpp
+++ b/src/cluster/common/node_locations.hpp
@@ -1,4 +1,4 @@
-// Where the processes of the cluster stand, seen from one of them.
+// Zones of the cluster's processes, and their distances from this process.
 #pragma once
 
 #include <map>
@@ -11,15 +11,15 @@
 
 namespace amberswitch::cluster {
 
-// Where the other processes stand, as far as this one has been told.
+// Maps the addresses of other processes to their zones, as far as this process has learnt them.
 class NodeLocations {
 public:
-    // `zone`: where this process stands.
+    // `zone` is the zone of this process.
     NodeLocations(std::string zone, Topology topology)
         : zone_(std::move(zone)), topology_(std::move(topology)) {}
 
-    void learn(const NodeAddress& address, const std::string& zone) { zones_[address] = zone; }
-    // Nothing for an address of which no zone is known.
+    void setZone(const NodeAddress& address, const std::string& zone) { zones_[address] = zone; }
+    // Nothing if the zone of the address is not known.
     std::optional<Distance> distanceTo(const NodeAddress& address) const;
 
 private:
--- a/src/cluster/common/replication_messages.hpp
+++ b/src/cluster/common/replication_messages.hpp
@@ -1,4 +1,4 @@
-// What stores exchange: copies of messages and their states, and what the owner of a new epoch asks for.
+// Messages between stores: copies of messages and their states, and the pulls by the owner of a new epoch.
 #pragma once
 
 #include <cereal/types/optional.hpp>
@@ -14,7 +14,7 @@
 namespace amberswitch::cluster {
 
 // --- Replication -------------------------------------------------------------------------------------------
-// An end or a count, without the content.
+// The state of a message without its content: its end, or a failed attempt.
 struct RecordUpdate {
     PartitionId partition = 0;
     MessageId id;
@@ -23,21 +23,22 @@
     std::string stamp;
     std::int64_t ended_wall_ms = 0;
     bool callback_done = false;
-    std::int64_t keep_until_wall_ms = 0;  // when the message may be forgotten
-    std::int64_t accepted_wall_ms = 0;    // 0: not known; the latest that any replica tells counts
+    std::int64_t keep_until_wall_ms = 0;  // when the message may be deleted
+    std::int64_t accepted_wall_ms = 0;    // 0: not known; the latest value of all replicas counts
     template <class Archive>
     void serialize(Archive& archive) {
         archive(partition, id, phase, failures, stamp, ended_wall_ms, callback_done, keep_until_wall_ms,
                 accepted_wall_ms);
     }
 };
+// The owner of a partition sends new messages and updates to a replica.
 struct ReplicateRequest {
     std::string store;
     PartitionId partition = 0;
     Epoch epoch = 0;
     std::vector<MessageRecord> records;
     std::vector<RecordUpdate> updates;
-    bool durable = true;  // answer only once everything is synced
+    bool durable = true;  // reply only after everything is synced to disk
     template <class Archive>
     void serialize(Archive& archive) {
         archive(store, partition, epoch, records, updates, durable);
@@ -45,15 +46,15 @@
 };
 struct ReplicateReply {
     bool stored = false;  // false: this replica has promised a newer epoch
-    Epoch promised = 0;
+    Epoch promised_epoch = 0;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(stored, promised);
+        archive(stored, promised_epoch);
     }
 };
-// What goes to one replica in one call (kind `replicate`), for any number of partitions.
+// All requests sent to one replica in one call (kind `replicate`), for any number of partitions.
 struct ReplicateBatch {
-    std::int64_t wall_ms = 0;  // the sender's clock, so that times of day can be translated
+    std::int64_t wall_ms = 0;  // the sender's wall clock, used to convert its wall-clock times
     std::vector<ReplicateRequest> requests;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -61,21 +62,21 @@
     }
 };
 struct ReplicateBatchReply {
-    std::vector<ReplicateReply> replies;  // by request; empty: the disk fails
+    std::vector<ReplicateReply> replies;  // one per request; empty: the disk fails
     template <class Archive>
     void serialize(Archive& archive) {
         archive(replies);
     }
 };
 
-// The owner of a new epoch asks every store for all it has of a partition. The replica promises, durably, to
-// take nothing from an older epoch any more; an older owner stops there.
+// The owner of a new epoch asks every store for all its records of a partition. The replica durably promises
+// to accept nothing from an older epoch, which fences off older owners.
 struct PullRequest {
     std::string store;
     PartitionId partition = 0;
     Epoch epoch = 0;
-    std::vector<MessageId> known;  // messages whose content the owner holds already
-    // Of the asked store, as the owner's view names it.
+    std::vector<MessageId> known;  // messages whose content the owner already has
+    // Of the store that receives the request, as given in the owner's view.
     Epoch joined_epoch = 0;
     Incarnation joined_incarnation = 0;
     template <class Archive>
@@ -84,26 +85,28 @@
     }
 };
 struct PullReply {
-    bool promised = false;  // false: a newer epoch is promised already
-    // Whether what this replica was given of the partition since it joined is still there; false after a lost
-    // disk until the owner has said peering_done.
+    bool promised = false;  // false: already promised to a newer epoch
+    // Whether the replica still has everything of the partition that it received since it joined. False after
+    // the loss of its disk, until the owner sends PeeringDone.
     bool valid = false;
-    Epoch peered = 0;                     // the newest epoch of which an owner has said peering_done here
+    Epoch peered_epoch = 0;               // newest epoch for which this replica received PeeringDone
     std::int64_t wall_ms = 0;             // the replica's clock
-    std::vector<MessageRecord> records;   // live messages and dead letters that the owner does not know
+    std::vector<MessageRecord> records;   // live messages and dead letters not known to the owner
     std::vector<RecordUpdate> states;     // all others
-    std::vector<RunningAttempt> running;  // where it was the owner: what it has granted
-    std::vector<MessageId> dead_letters;  // those of `states` whose content is here
-    bool whole = true;  // false: there are more records; asked again, the replica goes on with those
-    // The replica's disk fails: neither the promise nor the records are durable there. They merge, but this
-    // is no answer that counts, and what is here no copy.
-    bool in_doubt = false;
+    std::vector<RunningAttempt> running;  // its open grants, where it was the owner
+    std::vector<MessageId> dead_letters;  // entries of `states` whose content this replica has
+    bool complete = true;                 // false: more records remain, which a further pull returns
+    // The replica's disk fails, so neither its promise nor its records are durable. The owner merges the
+    // records, but does not count this reply or the replica's copies.
+    bool not_durable = false;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(promised, valid, peered, wall_ms, records, states, running, dead_letters, whole, in_doubt);
+        archive(promised, valid, peered_epoch, wall_ms, records, states, running, dead_letters, complete,
+                not_durable);
     }
 };
-// Every live message of the partition stands on tolerated + 1 disks of this view: its replicas are valid.
+// Tells a replica that every live message of the partition is on tolerated + 1 disks of this view, so the
+// partition's replicas are valid.
 struct PeeringDone {
     std::string store;
     PartitionId partition = 0;
@@ -113,8 +116,8 @@
         archive(store, partition, epoch);
     }
 };
-// The leader asks whether all partitions that the store owns in the view of that epoch have been peered in
-// it.
+// The leader asks whether the store has completed peering for all partitions that it owns in the view of this
+// epoch.
 struct PeeringProgressRequest {
     Epoch epoch = 0;
     template <class Archive>
--- a/src/cluster/common/settings.cpp
+++ b/src/cluster/common/settings.cpp
@@ -7,16 +7,16 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr double kMostUint32 = std::numeric_limits<std::uint32_t>::max();
+constexpr double kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
 constexpr NumberRange kPort{1, 65535};
-constexpr NumberRange kCount{0, kMostUint32};
-constexpr NumberRange kPositiveCount{1, kMostUint32};
+constexpr NumberRange kCount{0, kMaxUint32};
+constexpr NumberRange kPositiveCount{1, kMaxUint32};
 constexpr NumberRange kPositive{1e-6, 1e9};
 constexpr NumberRange kNotNegative{0, 1e9};
 constexpr std::uint16_t kPortsNeeded = static_cast<std::uint16_t>(PortOffset::store) + 1;
 
 std::optional<NodeAddress> addressIfAny(const SettingsField& field) {
-    if (field.absent()) return std::nullopt;
+    if (field.isAbsent()) return std::nullopt;
     return field.address();
 }
 
@@ -27,18 +27,18 @@
 }
 
 void readPortRange(const SettingsField& field, NodeSettings& settings) {
-    if (field.absent()) field.fail("is missing");
+    if (field.isAbsent()) field.fail("is missing");
     const std::vector<SettingsField> ends = field.items();
     if (ends.size() != 2) field.fail("must be a list of two ports");
-    settings.first_port = static_cast<std::uint16_t>(ends[0].whole(kPort));
-    settings.last_port = static_cast<std::uint16_t>(ends[1].whole(kPort));
+    settings.first_port = static_cast<std::uint16_t>(ends[0].integer(kPort));
+    settings.last_port = static_cast<std::uint16_t>(ends[1].integer(kPort));
     if (settings.last_port < settings.first_port) field.fail("must not end before it begins");
     const int ports = settings.last_port - settings.first_port + 1;
     if (ports < kPortsNeeded) field.fail("must hold at least " + std::to_string(kPortsNeeded) + " ports");
 }
 
 std::vector<NodeAddress> readSeeds(const SettingsField& field) {
-    if (field.absent()) field.fail("is missing");
+    if (field.isAbsent()) field.fail("is missing");
     std::vector<NodeAddress> seeds;
     for (const SettingsField& item : field.items()) seeds.push_back(item.address());
     return seeds;
@@ -47,10 +47,10 @@
 NodeLimits readLimits(const SettingsField& field) {
     NodeLimits limits;
     limits.cpu_share = field.child("cpuShare").numberOr(limits.cpu_share, kPositive);
-    limits.memory_mb = field.child("memoryMb").wholeOr(limits.memory_mb, kPositiveCount);
-    limits.max_fds = field.child("maxFds").wholeOr(limits.max_fds, kPositiveCount);
+    limits.memory_mb = field.child("memoryMb").integerOr(limits.memory_mb, kPositiveCount);
+    limits.max_fds = field.child("maxFds").integerOr(limits.max_fds, kPositiveCount);
     limits.link_mbps = field.child("linkMbps").numberOr(limits.link_mbps, kNotNegative);
-    limits.disk_mb = field.child("diskMb").wholeOr(limits.disk_mb, kCount);
+    limits.disk_mb = field.child("diskMb").integerOr(limits.disk_mb, kCount);
     return limits;
 }
 
@@ -59,7 +59,7 @@
     bounds.drain = field.child("drainMs").millisOr(bounds.drain);
     bounds.grace = field.child("graceS").secondsOr(bounds.grace);
     bounds.config_apply = field.child("configApplyMs").millisOr(bounds.config_apply);
-    bounds.status_kept = field.child("statusS").secondsOr(bounds.status_kept);
+    bounds.status_retention = field.child("statusS").secondsOr(bounds.status_retention);
     bounds.callback = field.child("callbackS").secondsOr(bounds.callback);
     bounds.early = field.child("earlyMs").millisOr(bounds.early);
     bounds.ceiling_window = field.child("ceilingWindowS").secondsOr(bounds.ceiling_window);
@@ -73,18 +73,18 @@
     return Topology(std::move(region_of_zone));
 }
 
-Tolerance readTolerance(const SettingsField& field) {
-    Tolerance tolerance;
-    tolerance.machines = field.child("machines").wholeOr(tolerance.machines, kCount);
-    tolerance.zones = field.child("zones").wholeOr(tolerance.zones, kCount);
-    tolerance.regions = field.child("regions").wholeOr(tolerance.regions, kCount);
+FaultTolerance readTolerance(const SettingsField& field) {
+    FaultTolerance tolerance;
+    tolerance.machines = field.child("machines").integerOr(tolerance.machines, kCount);
+    tolerance.zones = field.child("zones").integerOr(tolerance.zones, kCount);
+    tolerance.regions = field.child("regions").integerOr(tolerance.regions, kCount);
     return tolerance;
 }
 
-// Without an address there is no platform to ask, whatever else the section holds.
+// Nothing without an address: the other fields of the section are then not used.
 std::optional<CloudSettings> readCloud(const SettingsField& field) {
     const SettingsField address = field.child("address");
-    if (address.absent()) return std::nullopt;
+    if (address.isAbsent()) return std::nullopt;
     CloudSettings cloud;
     cloud.address = address.address();
     cloud.rate_per_s = field.child("ratePerS").numberOr(cloud.rate_per_s, kPositive);
@@ -95,7 +95,7 @@
 }  // namespace
 
 NodeSettings loadNodeSettings(const std::string& path) {
-    const SettingsField root = SettingsField::ofFile(path);
+    const SettingsField root = SettingsField::fromFile(path);
     NodeSettings settings;
     settings.name = root.child("nodeName").text();
     settings.zone = root.child("zone").text();
--- a/src/cluster/common/settings_field.cpp
+++ b/src/cluster/common/settings_field.cpp
@@ -11,10 +11,10 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr double kLongestMillis = 1e12;  // some 30 years: no overflow in any unit of time
+constexpr double kMaxMillis = 1e12;  // about 30 years; does not overflow in any unit of time
 constexpr double kMillisPerSecond = 1000;
 
-std::string inWords(double number) {
+std::string formatNumber(double number) {
     char text[32];
     std::snprintf(text, sizeof text, "%.12g", number);
     return text;
@@ -25,7 +25,7 @@
         return YAML::LoadFile(file);
     } catch (const YAML::BadFile&) {
         throw SettingsError(file, "file", "cannot be read");
-    } catch (const std::ios_base::failure&) {  // a folder, or a disk that fails
+    } catch (const std::ios_base::failure&) {  // the path is a directory, or the disk fails
         throw SettingsError(file, "file", "cannot be read");
     } catch (const YAML::ParserException& error) {
         throw SettingsError(file, "line " + std::to_string(error.mark.line + 1), error.msg);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-SettingsField SettingsField::ofFile(const std::string& file) {
+SettingsField SettingsField::fromFile(const std::string& file) {
     const YAML::Node root = parseFile(file);
     if (!root.IsMap()) throw SettingsError(file, "file", "must hold a map of fields");
     return {file, "", root};
@@ -45,13 +45,13 @@
 
 SettingsField SettingsField::child(const std::string& key) const {
     const std::string path = path_.empty() ? key : path_ + "." + key;
-    if (absent()) return {file_, path, YAML::Node(YAML::NodeType::Undefined)};
+    if (isAbsent()) return {file_, path, YAML::Node(YAML::NodeType::Undefined)};
     if (!node_.IsMap()) fail("must be a map of fields");
     const YAML::Node& parent = node_;
     return {file_, path, parent[key]};
 }
 
-bool SettingsField::absent() const {
+bool SettingsField::isAbsent() const {
     return !node_.IsDefined() || node_.IsNull();
 }
 
@@ -59,12 +59,12 @@
     throw SettingsError(file_, path_.empty() ? "file" : path_, reason);
 }
 
-void SettingsField::require() const {
-    if (absent()) fail("is missing");
+void SettingsField::requirePresent() const {
+    if (isAbsent()) fail("is missing");
 }
 
 const std::string& SettingsField::scalar() const {
-    require();
+    requirePresent();
     if (!node_.IsScalar()) fail("must be a single value");
     return node_.Scalar();
 }
@@ -76,11 +76,11 @@
 }
 
 std::string SettingsField::textOr(const std::string& fallback) const {
-    return absent() ? fallback : scalar();
+    return isAbsent() ? fallback : scalar();
 }
 
 bool SettingsField::booleanOr(bool fallback) const {
-    if (absent()) return fallback;
+    if (isAbsent()) return fallback;
     bool value = false;
     if (!YAML::convert<bool>::decode(node_, value)) fail("must be true or false, not '" + scalar() + "'");
     return value;
@@ -90,35 +90,36 @@
     const std::string& written = scalar();
     double value = 0;
     if (!YAML::convert<double>::decode(node_, value)) fail("must be a number, not '" + written + "'");
-    const bool in_range = value >= range.lowest && value <= range.highest;  // false for not-a-number
+    const bool in_range = value >= range.lowest && value <= range.highest;  // false for NaN
     if (!in_range) {
-        fail("must be from " + inWords(range.lowest) + " to " + inWords(range.highest) + ", not " + written);
+        fail("must be from " + formatNumber(range.lowest) + " to " + formatNumber(range.highest) + ", not " +
+             written);
     }
     return value;
 }
 
 double SettingsField::numberOr(double fallback, NumberRange range) const {
-    return absent() ? fallback : number(range);
+    return isAbsent() ? fallback : number(range);
 }
 
-std::uint32_t SettingsField::whole(NumberRange range) const {
+std::uint32_t SettingsField::integer(NumberRange range) const {
     const double value = number(range);
     if (value != std::floor(value)) fail("must be a whole number, not " + scalar());
     return static_cast<std::uint32_t>(value);
 }
 
-std::uint32_t SettingsField::wholeOr(std::uint32_t fallback, NumberRange range) const {
-    return absent() ? fallback : whole(range);
+std::uint32_t SettingsField::integerOr(std::uint32_t fallback, NumberRange range) const {
+    return isAbsent() ? fallback : integer(range);
 }
 
 Millis SettingsField::millisOr(Millis fallback) const {
-    if (absent()) return fallback;
-    return Millis(std::llround(number({0, kLongestMillis})));
+    if (isAbsent()) return fallback;
+    return Millis(std::llround(number({0, kMaxMillis})));
 }
 
 Millis SettingsField::secondsOr(Millis fallback) const {
-    if (absent()) return fallback;
-    return Millis(std::llround(number({0, kLongestMillis / kMillisPerSecond}) * kMillisPerSecond));
+    if (isAbsent()) return fallback;
+    return Millis(std::llround(number({0, kMaxMillis / kMillisPerSecond}) * kMillisPerSecond));
 }
 
 std::string SettingsField::ip() const {
@@ -136,7 +137,7 @@
 
 std::vector<SettingsField> SettingsField::items() const {
     std::vector<SettingsField> found;
-    if (absent()) return found;
+    if (isAbsent()) return found;
     if (!node_.IsSequence()) fail("must be a list");
     found.reserve(node_.size());
     for (const YAML::Node& item : node_) {
@@ -147,7 +148,7 @@
 
 std::map<std::string, SettingsField> SettingsField::entries() const {
     std::map<std::string, SettingsField> found;
-    if (absent()) return found;
+    if (isAbsent()) return found;
     if (!node_.IsMap()) fail("must be a map");
     for (const auto& entry : node_) {
         const std::string key = entry.first.Scalar();
--- a/src/cluster/common/tcp_peer.cpp
+++ b/src/cluster/common/tcp_peer.cpp
@@ -48,7 +48,7 @@
     if (!frame.reply || found == calls_.end()) return;
     const std::function<void(CallResult)> done = std::move(found->second.done);
     calls_.erase(found);
-    done({Verdict::answered, Envelope{frame.kind, std::move(frame.body)}});
+    done({CallStatus::answered, Envelope{frame.kind, std::move(frame.body)}});
 }
 
 void TcpPeer::onReceived() {
@@ -66,7 +66,7 @@
 void TcpPeer::timedOut(std::uint64_t id) {
     if (connected_ && silentTooLong()) return failAll();
     const auto found = calls_.find(id);
-    const Verdict verdict = found->second.offset ? Verdict::unknown : Verdict::not_executed;
+    const CallStatus verdict = found->second.offset ? CallStatus::unknown : CallStatus::not_executed;
     const std::function<void(CallResult)> done = std::move(found->second.done);
     calls_.erase(found);
     done({verdict, {}});
@@ -85,7 +85,7 @@
     const Calls failed = std::exchange(calls_, {});
     for (const auto& [id, call] : failed) {
         const bool never_left = !call.offset || *call.offset >= written;
-        call.done({never_left ? Verdict::not_executed : Verdict::unknown, {}});
+        call.done({never_left ? CallStatus::not_executed : CallStatus::unknown, {}});
     }
 }
 
--- a/src/cluster/common/topology.cpp
+++ b/src/cluster/common/topology.cpp
@@ -8,7 +8,7 @@
     return found == region_of_zone_.end() ? none : found->second;
 }
 
-Distance Topology::between(const std::string& zone, const std::string& other) const {
+Distance Topology::distanceBetween(const std::string& zone, const std::string& other) const {
     if (zone == other) return Distance::same_zone;
     return regionOf(zone) == regionOf(other) ? Distance::same_region : Distance::other_region;
 }
--- a/src/cluster/common/topology.hpp
+++ b/src/cluster/common/topology.hpp
@@ -1,4 +1,4 @@
-// Where machines stand relative to each other: zones within regions, as the settings file names them.
+// The topology of the deployment: zones grouped into regions, as given in the settings file.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace amberswitch::cluster {
 
-// How far two zones are apart; nearer ones compare as less. Latency and the price of a byte rise with it.
+// Distance between two zones; nearer compares as less. Latency and the price of a byte increase with it.
 enum class Distance : std::uint8_t { same_zone, same_region, other_region };
 
 class Topology {
@@ -18,9 +18,9 @@
     explicit Topology(std::map<std::string, std::string> region_of_zone)
         : region_of_zone_(std::move(region_of_zone)) {}
 
-    // Empty for a zone that the settings do not name; all such zones count as one region.
+    // Empty for a zone that the settings do not name; all such zones form one region.
     const std::string& regionOf(const std::string& zone) const;
-    Distance between(const std::string& zone, const std::string& other) const;
+    Distance distanceBetween(const std::string& zone, const std::string& other) const;
 
 private:
     std::map<std::string, std::string> region_of_zone_;
--- a/src/cluster/common/traffic_meter.cpp
+++ b/src/cluster/common/traffic_meter.cpp
@@ -56,7 +56,8 @@
     const std::optional<Distance> distance = locations_.distanceTo(to);
     meter_.count(kind, distance, request.body.size());
     const auto counted = [this, kind, distance, done = std::move(done)](const CallResult& result) {
-        if (result.verdict == Verdict::answered) meter_.countReply(kind, distance, result.reply.body.size());
+        if (result.verdict == CallStatus::answered)
+            meter_.countReply(kind, distance, result.reply.body.size());
         done(result);
     };
     inner_->call(to, std::move(request), timeout, counted);
--- a/src/cluster/common/transport.hpp
+++ b/src/cluster/common/transport.hpp
@@ -17,7 +17,7 @@
 };
 
 struct CallResult {
-    Verdict verdict = Verdict::unknown;
+    CallStatus verdict = CallStatus::unknown;
     Envelope reply;  // only where verdict is answered
 };
 
--- a/src/cluster/common/types.hpp
+++ b/src/cluster/common/types.hpp
@@ -1,4 +1,4 @@
-// Basic vocabulary shared by every plane of the cluster: identifiers, times, addresses, verdicts.
+// Basic types shared by all processes of the cluster: identifiers, times, addresses and call results.
 #pragma once
 
 #include <chrono>
@@ -11,15 +11,15 @@
 using Millis = std::chrono::milliseconds;
 using SteadyTime = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
 
-using Epoch = std::uint64_t;        // of the store view; only rises
-using Incarnation = std::uint64_t;  // of a process: drawn at its start, never 0
+using Epoch = std::uint64_t;        // of the store view; only increases
+using Incarnation = std::uint64_t;  // identifies one run of a process: drawn at its start, never 0
 using PartitionId = std::uint32_t;
-using MessageId = std::string;  // the client's Request-Id
+using MessageId = std::string;  // the Request-Id that the client sent
 
-// Offsets from the first port of `portRange` for what dispatchers say to each other.
+// Offset of each kind of process's internal port from the first port of `portRange`.
 enum class PortOffset : std::uint16_t { core = 0, edge = 1, store = 2 };
 
-// An IPv4 address and TCP port, as text and number.
+// An IPv4 address in dotted decimal form and a TCP port.
 struct NodeAddress {
     std::string ip;
     std::uint16_t port = 0;
@@ -32,11 +32,11 @@
     }
 };
 
-// What is known of a request that was handed to another process.
-enum class Verdict : std::uint8_t {
-    answered,      // an answer came
-    not_executed,  // the request surely never reached the other side
-    unknown,       // it may have run: the answer was lost, late or never sent
+// Result of a call to another process, as far as the caller knows it.
+enum class CallStatus : std::uint8_t {
+    answered,      // a response arrived
+    not_executed,  // the request certainly never reached the other process
+    unknown,       // the request may have been executed: the response was lost, late or never sent
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/configuration_history.cpp
+++ b/src/cluster/control/configuration_history.cpp
@@ -52,13 +52,13 @@
     }
 }
 
-const Configuration* ConfigurationHistory::find(const KnownConfiguration& base) const {
+const Configuration* ConfigurationHistory::find(const ConfigurationVersion& base) const {
     const auto found =
         std::find_if(kept_.begin(), kept_.end(), [&](const Kept& kept) { return kept.known == base; });
     return found == kept_.end() ? nullptr : found->configuration.get();
 }
 
-const EncodedUpdate& ConfigurationHistory::updateFrom(const KnownConfiguration& base) {
+const EncodedUpdate& ConfigurationHistory::updateFrom(const ConfigurationVersion& base) {
     const Configuration* const from = find(base);
     const std::int64_t base_generation = from == nullptr ? 0 : base.generation;
     const auto cached = updates_.find(base_generation);
@@ -66,7 +66,7 @@
     EncodedUpdate update;
     update.base_generation = base_generation;
     update.configuration = kept_.back().known;
-    update.bytes = encodeUpdate(cluster::updateFrom(from, *kept_.back().configuration));
+    update.bytes = encodeUpdate(cluster::makeUpdate(from, *kept_.back().configuration));
     update.digest = digestOf(update.bytes);
     LOG(INFO) << "configuration " << update.configuration.generation << " from " << base_generation << ": "
               << update.bytes.size() << " bytes";
--- a/src/cluster/control/configuration_history.hpp
+++ b/src/cluster/control/configuration_history.hpp
@@ -16,9 +16,9 @@
 
 // An update as it is sent, in pages.
 struct EncodedUpdate {
-    std::int64_t base_generation = 0;  // 0: a whole configuration
-    KnownConfiguration configuration;  // that it leads to
-    std::uint64_t digest = 0;          // of `bytes`
+    std::int64_t base_generation = 0;    // 0: a whole configuration
+    ConfigurationVersion configuration;  // that it leads to
+    std::uint64_t digest = 0;            // of `bytes`
     std::string bytes;
 
     // The page that follows what the caller has received of this update.
@@ -32,17 +32,17 @@
 
     std::int64_t newestGeneration() const { return kept_.empty() ? 0 : kept_.back().known.generation; }
     // From `base` where it is kept here, else the whole configuration. There must be a newest one.
-    const EncodedUpdate& updateFrom(const KnownConfiguration& base);
+    const EncodedUpdate& updateFrom(const ConfigurationVersion& base);
 
 private:
     struct Kept {
-        KnownConfiguration known;
+        ConfigurationVersion known;
         std::shared_ptr<const Configuration> configuration;
         std::size_t entries() const { return configuration->routes.size() + configuration->services.size(); }
     };
 
     void forgetOldest();
-    const Configuration* find(const KnownConfiguration& base) const;
+    const Configuration* find(const ConfigurationVersion& base) const;
 
     std::deque<Kept> kept_;                          // the newest last
     std::map<std::int64_t, EncodedUpdate> updates_;  // to the newest, by base generation
--- a/src/cluster/control/configuration_reader.cpp
+++ b/src/cluster/control/configuration_reader.cpp
@@ -16,11 +16,11 @@
 constexpr Millis kCallTimeout{800};
 
 ReadConfigurationReply readingOf(const ChangeOutcome& outcome) {
-    if (!outcome.known) return {ConfigurationRead::not_known, {}};
+    if (!outcome.known) return {ConfigurationReadStatus::not_known, {}};
     std::optional<ConfigurationState> state = readConfigurationState(outcome.value);
-    if (!state) return {ConfigurationRead::unreadable, {}};
-    if (state->generation == 0) return {ConfigurationRead::none_yet, {}};
-    return {ConfigurationRead::newest, std::move(state->body)};
+    if (!state) return {ConfigurationReadStatus::unreadable, {}};
+    if (state->generation == 0) return {ConfigurationReadStatus::none_yet, {}};
+    return {ConfigurationReadStatus::newest, std::move(state->body)};
 }
 
 }  // namespace
@@ -33,13 +33,13 @@
 
 HttpResponse responseOf(ReadConfigurationReply reading) {
     switch (reading.status) {
-        case ConfigurationRead::newest:
+        case ConfigurationReadStatus::newest:
             return jsonAnswer(std::move(reading.body));
-        case ConfigurationRead::none_yet:
+        case ConfigurationReadStatus::none_yet:
             return textAnswer(404, "no configuration has been taken yet");
-        case ConfigurationRead::unreadable:
+        case ConfigurationReadStatus::unreadable:
             return unreadableValue("configuration");
-        case ConfigurationRead::not_known:
+        case ConfigurationReadStatus::not_known:
             break;
     }
     return unknownOutcome();
@@ -62,7 +62,7 @@
     search.unasked.pop_back();
     const auto shared = std::make_shared<Search>(std::move(search));
     const auto done = [this, shared](std::optional<ReadConfigurationReply> reply) {
-        const bool is_known = reply && reply->status != ConfigurationRead::not_known;
+        const bool is_known = reply && reply->status != ConfigurationReadStatus::not_known;
         if (is_known) return shared->respond(responseOf(std::move(*reply)));
         askNext(std::move(*shared));
     };
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -56,10 +56,10 @@
     }
 
 private:
-    NodeAddress self() const { return settings_.internal(PortOffset::core); }
+    NodeAddress self() const { return settings_.internalAddress(PortOffset::core); }
     std::vector<NodeAddress> seedAddresses() const;
     std::vector<NodeAddress> coreAddresses() const;
-    static std::uint32_t copiesTolerated(const Tolerance& tolerance);
+    static std::uint32_t copiesTolerated(const FaultTolerance& tolerance);
     static std::uint64_t digestOf(const std::vector<NodeAddress>& addresses);
     std::vector<NodeAddress> peers() const;
     std::optional<NodeAddress> leaderAddress() const;
@@ -212,7 +212,7 @@
 }
 
 // Each zone, or region, that may be lost takes a machine at least.
-std::uint32_t ControlNode::Impl::copiesTolerated(const Tolerance& tolerance) {
+std::uint32_t ControlNode::Impl::copiesTolerated(const FaultTolerance& tolerance) {
     return std::max({tolerance.machines, tolerance.zones, tolerance.regions});
 }
 
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -17,7 +17,7 @@
 
 class ControlNode {
 public:
-    // Serves `transport`, which listens at settings.internal(PortOffset::core).
+    // Serves `transport`, which listens at settings.internalAddress(PortOffset::core).
     ControlNode(Scheduler& scheduler, Transport& transport, HttpClient& cloud, RecordStore& disk,
                 const NodeSettings& settings, Incarnation incarnation);
     ~ControlNode();
--- a/src/cluster/control/control_status.cpp
+++ b/src/cluster/control/control_status.cpp
@@ -107,7 +107,7 @@
         write(json, "alive", store.alive);
         write(json, "incarnation", store.member.incarnation);
         write(json, "joinedEpoch", store.joined_epoch);
-        write(json, "retiring", store.retire_ordered);
+        write(json, "retiring", store.retirement_requested);
         json.EndObject();
     }
     json.EndArray();
--- a/src/cluster/control/core_client.cpp
+++ b/src/cluster/control/core_client.cpp
@@ -112,7 +112,7 @@
     std::int64_t seen_generation_ = 0;  // also of a configuration that could not be used
     ConfigurationAssembler assembler_;
     SteadyTime last_page_at_{};
-    KnownConfiguration update_base_;  // of `configuration_`; none after an update that could not be applied
+    ConfigurationVersion update_base_;  // of `configuration_`; none after an update that could not be applied
     std::shared_ptr<const Configuration> configuration_;
     std::shared_ptr<const ServerList> servers_;
     std::shared_ptr<const StoreView> view_;
@@ -262,7 +262,7 @@
         machine.named = reply->core;
         machine.named_digest = reply->core_digest;
     }
-    locations_.learn(address, reply->zone);
+    locations_.setZone(address, reply->zone);
     followNewer(address, *reply);
 }
 
@@ -419,7 +419,8 @@
     const auto order = [](const StoreView& of) { return std::pair(of.epoch, of.leader_term); };
     if (view_ && order(view) <= order(*view_)) return;
     view_ = std::make_shared<const StoreView>(std::move(view));
-    for (const StoreMember& store : view_->stores) locations_.learn(store.member.address, store.member.zone);
+    for (const StoreMember& store : view_->stores)
+        locations_.setZone(store.member.address, store.member.zone);
     if (callbacks_.on_view) callbacks_.on_view(view_);
 }
 
--- a/src/cluster/control/leader_election.cpp
+++ b/src/cluster/control/leader_election.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/control/typed_call.hpp"
 
 namespace amberswitch::cluster {
@@ -21,7 +21,7 @@
 }  // namespace
 
 LeaseGrantor::LeaseGrantor(Scheduler& scheduler, bool first_start) : scheduler_(scheduler) {
-    const bool at_once = first_start || isPlanted(PlantedFault::fresh_grantor_votes_at_once);
+    const bool at_once = first_start || isFaultInjected(InjectedFault::fresh_grantor_votes_at_once);
     votes_from_ = scheduler.now() + (at_once ? Millis(0) : kLease);
 }
 
@@ -134,7 +134,7 @@
 }
 
 void LeaderElection::onMajority(const VoteRound& votes) {
-    const bool from_answer = isPlanted(PlantedFault::lease_counted_from_answer);
+    const bool from_answer = isFaultInjected(InjectedFault::lease_counted_from_answer);
     const SteadyTime until =
         from_answer ? scheduler_.now() + kLease : votes.asked_at + kLease - kSafetyMargin;
     if (leaving_ || scheduler_.now() >= until) return;
--- a/src/cluster/control/membership.cpp
+++ b/src/cluster/control/membership.cpp
@@ -75,7 +75,7 @@
         const bool heard_lately = scheduler_.now() - entry.last_seen <= kPlaceKept;
         if (entry.member.kind != NodeKind::edge || !heard_lately || entry.member.leaving) continue;
         ++share.edges;
-        if (topology.between(entry.member.zone, edge.zone) == Distance::other_region) continue;
+        if (topology.distanceBetween(entry.member.zone, edge.zone) == Distance::other_region) continue;
         ++share.region_edges;
         if (place(entry.member) < place(edge)) ++share.region_rank;
     }
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -68,20 +68,22 @@
 }  // namespace
 
 std::int64_t newestForgotten(const ConfigurationState& state) {
-    return state.taken.empty() ? state.generation : state.taken.front().base;
+    return state.accepted_changes.empty() ? state.generation : state.accepted_changes.front().base;
 }
 
-ReplaceDecision decideReplace(const ConfigurationState& current, const TakenChange& change,
+ReplaceDecision decideReplace(const ConfigurationState& current, const AcceptedChange& change,
                               const std::string& body) {
     if (change.generation <= change.base) return {ReplaceVerdict::generation_too_low, false, {}};
-    const bool known = std::find(current.taken.begin(), current.taken.end(), change) != current.taken.end();
+    const bool known = std::find(current.accepted_changes.begin(), current.accepted_changes.end(), change) !=
+                       current.accepted_changes.end();
     if (known) return {ReplaceVerdict::taken, false, {}};
     if (current.generation != change.base) {
         const bool is_forgotten = change.generation <= newestForgotten(current);
         return {is_forgotten ? ReplaceVerdict::forgotten : ReplaceVerdict::other_base, false, {}};
     }
-    ReplaceDecision decision{ReplaceVerdict::taken, true, {change.generation, body, current.taken}};
-    std::vector<TakenChange>& taken = decision.next.taken;
+    ReplaceDecision decision{
+        ReplaceVerdict::taken, true, {change.generation, body, current.accepted_changes}};
+    std::vector<AcceptedChange>& taken = decision.next.accepted_changes;
     taken.push_back(change);
     if (taken.size() > kTakenKept) taken.erase(taken.begin(), taken.end() - kTakenKept);
     return decision;
@@ -109,7 +111,7 @@
     if (request.body.size() > kMaxOperatorBodyBytes) return respond(textAnswer(413, kTooLarge));
     const std::optional<std::int64_t> base = parseVersion(headerValue(request.headers, "Base-Version"));
     if (!base) return respond(textAnswer(400, "Base-Version: must be a whole number, 0 or more"));
-    TakenChange change;
+    AcceptedChange change;
     try {
         change.generation = parseConfiguration(request.body).generation;
     } catch (const ConfigurationError& error) {
@@ -121,7 +123,8 @@
     proposeConfiguration(change, request.body, std::move(respond));
 }
 
-void OperatorApi::proposeConfiguration(const TakenChange& change, std::string body, HttpResponder respond) {
+void OperatorApi::proposeConfiguration(const AcceptedChange& change, std::string body,
+                                       HttpResponder respond) {
     const auto verdict = std::make_shared<ReplaceVerdict>(ReplaceVerdict::taken);
     const auto decide = [verdict, change, body = std::move(body)](const std::string& current) {
         const std::optional<ConfigurationState> state = readConfigurationState(current);
--- a/src/cluster/control/operator_api.hpp
+++ b/src/cluster/control/operator_api.hpp
@@ -42,7 +42,7 @@
     bool write = false;
     ConfigurationState next;  // only where write
 };
-ReplaceDecision decideReplace(const ConfigurationState& current, const TakenChange& change,
+ReplaceDecision decideReplace(const ConfigurationState& current, const AcceptedChange& change,
                               const std::string& body);
 
 class OperatorApi {
@@ -58,7 +58,7 @@
 
 private:
     void replaceConfiguration(const HttpRequest& request, HttpResponder respond);
-    void proposeConfiguration(const TakenChange& change, std::string body, HttpResponder respond);
+    void proposeConfiguration(const AcceptedChange& change, std::string body, HttpResponder respond);
     void readNewest(HttpResponder respond);
     // Orders through the register that the leader empties the store; a repeat is answered as the first order.
     void startRetirement(const std::string& node, HttpResponder respond);
--- a/src/cluster/control/register_proposer.cpp
+++ b/src/cluster/control/register_proposer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/control/typed_call.hpp"
 
 namespace amberswitch::cluster {
@@ -41,7 +41,7 @@
     Decision decision;
 
     std::size_t majority() const {
-        return voters.addresses.size() / 2 + (isPlanted(PlantedFault::half_is_majority) ? 0 : 1);
+        return voters.addresses.size() / 2 + (isFaultInjected(InjectedFault::half_is_majority) ? 0 : 1);
     }
 };
 
@@ -132,7 +132,8 @@
     ++change->answers;
     if (reply && reply->voter && reply->promised) {
         ++change->votes;
-        const bool keeps_first = isPlanted(PlantedFault::adopts_first_value) && !change->current.empty();
+        const bool keeps_first =
+            isFaultInjected(InjectedFault::adopts_first_value) && !change->current.empty();
         if (reply->accepted > change->best && !keeps_first) {
             change->best = reply->accepted;
             change->current = std::move(reply->value);
@@ -157,7 +158,7 @@
 void RegisterProposer::sendAccept(const ChangeHandle& change) {
     const std::vector<NodeAddress> voters = electorate(*change);
     change->decision = change->decide(change->current);
-    if (isPlanted(PlantedFault::reads_without_writing_back) && !change->decision.write)
+    if (isFaultInjected(InjectedFault::reads_without_writing_back) && !change->decision.write)
         return finish(change, {true, false, change->best, change->current, change->voters.version});
     change->phase = ChangePhase::accept;
     change->asked = voters.size();
--- a/src/cluster/control/register_values.cpp
+++ b/src/cluster/control/register_values.cpp
@@ -36,7 +36,7 @@
 // Turns the parts that are kept compressed into plain ones. False: they are damaged.
 bool expand(ConfigurationState& state) {
     if (looksCompressed(state.body)) {
-        std::optional<std::string> body = decompressed(state.body, kMaxExpandedBytes);
+        std::optional<std::string> body = decompress(state.body, kMaxExpandedBytes);
         if (!body) return false;
         state.body = std::move(*body);
     }
@@ -52,7 +52,7 @@
 template <class Value>
 std::optional<Value> readValue(const std::string& bytes) {
     if (bytes.empty()) return Value{};
-    std::optional<Value> value = decodeWhole<Value>(bytes);
+    std::optional<Value> value = decodeExact<Value>(bytes);
     if (!value || !isWritten(*value) || !expand(*value)) return std::nullopt;
     return value;
 }
@@ -70,7 +70,7 @@
 }  // namespace
 
 std::string encodeConfigurationState(const ConfigurationState& state) {
-    return encode(ConfigurationState{state.generation, compressed(state.body), state.taken});
+    return encode(ConfigurationState{state.generation, compress(state.body), state.accepted_changes});
 }
 
 std::optional<ConfigurationState> readConfigurationState(const std::string& bytes) {
--- a/src/cluster/control/register_voter.cpp
+++ b/src/cluster/control/register_voter.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "cluster/common/codec.hpp"
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/storage/storage_error.hpp"
 
 namespace amberswitch::cluster {
@@ -104,9 +104,9 @@
 }
 
 void RegisterVoter::afterSync(std::function<void(bool)> done) {
-    if (isPlanted(PlantedFault::answers_before_sync)) std::exchange(done, [](bool) {})(true);
+    if (isFaultInjected(InjectedFault::answers_before_sync)) std::exchange(done, [](bool) {})(true);
     disk_.sync(lifetime_.guard([done = std::move(done)](bool synced) {
-        done(synced || isPlanted(PlantedFault::failed_sync_counts));
+        done(synced || isFaultInjected(InjectedFault::failed_sync_counts));
     }));
 }
 
@@ -173,7 +173,7 @@
     const KeyState& state = keys_[request.key];
     answer.voter = true;
     answer.highest = state.promised;
-    const bool keeps_promise = !isPlanted(PlantedFault::accepts_below_promise);
+    const bool keeps_promise = !isFaultInjected(InjectedFault::accepts_below_promise);
     if (request.ballot < state.promised && keeps_promise) return done(answer);
     if (!storeAccepted(request.key, {request.ballot, request.value})) return done(answer);
     answer.accepted = true;
--- a/src/cluster/control/register_voter.hpp
+++ b/src/cluster/control/register_voter.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/common/messages.hpp"
-#include "cluster/common/planted_fault.hpp"
 #include "cluster/control/lifetime.hpp"
 #include "cluster/control/register_messages.hpp"
 #include "cluster/storage/record_store.hpp"
@@ -43,7 +43,7 @@
     bool diskWorks() const { return disk_.healthy(); }
     // Has its data and is among the newest voters known.
     bool votes() const {
-        return (hasData() || isPlanted(PlantedFault::votes_before_recovery)) && isAmongVoters();
+        return (hasData() || isFaultInjected(InjectedFault::votes_before_recovery)) && isAmongVoters();
     }
     // Has no data, or none that may be trusted; must recover before it may vote.
     bool needsRecovery() const { return !valid_ && !started_first_; }
--- a/src/cluster/control/server_poller.cpp
+++ b/src/cluster/control/server_poller.cpp
@@ -153,7 +153,7 @@
 
 void ServerPoller::onPage(std::uint64_t poll, const HttpOutcome& outcome) {
     if (poll != poll_ || !hooks_.may_poll()) return;
-    if (outcome.verdict != Verdict::answered || outcome.response.status != kOk) return onFailure();
+    if (outcome.verdict != CallStatus::answered || outcome.response.status != kOk) return onFailure();
     std::optional<InstancePage> page = parseInstancePage(outcome.response.body);
     if (!page) return onFailure();
     std::move(page->servers.begin(), page->servers.end(), std::back_inserter(servers_));
--- a/src/cluster/control/store_view.cpp
+++ b/src/cluster/control/store_view.cpp
@@ -99,8 +99,8 @@
 void noteAbsences(StoreChange& change, const StoreView& current) {
     for (std::size_t index = 0; index < current.stores.size(); ++index) {
         StoreMember& store = change.stores[index];
-        if (store.alive) store.away_epoch = 0;
-        if (!store.alive && current.stores[index].alive) store.away_epoch = current.epoch + 1;
+        if (store.alive) store.absent_since_epoch = 0;
+        if (!store.alive && current.stores[index].alive) store.absent_since_epoch = current.epoch + 1;
     }
 }
 
@@ -113,7 +113,7 @@
         const bool is_away = !before.alive && !change.stores[index].alive;
         const bool drop_away = may_drop_away && is_away && isNamed(rules.long_away, before);
         if (!before.retiring && !drop_away) continue;
-        if (before.retire_ordered) noteRetired(change.retired, before);
+        if (before.retirement_requested) noteRetired(change.retired, before);
         change.place_before[index] = -1;
         change.changed = true;
     }
@@ -152,7 +152,7 @@
         }
     }
     for (StoreMember& store : change.stores) {
-        if (!store.retire_ordered || store.retiring) continue;
+        if (!store.retirement_requested || store.retiring) continue;
         store.retiring = true;
         change.changed = true;
     }
@@ -315,19 +315,19 @@
     for (StoreMember& store : view.stores) {
         if (store.member.name == name)
             ordered = &store;
-        else if (store.alive && !store.retire_ordered)
+        else if (store.alive && !store.retirement_requested)
             ++left;
     }
     if (ordered == nullptr) return RetireVerdict::unknown_store;
     if (left < 2 * std::size_t{view.tolerated} + 1) return RetireVerdict::too_few_left;
-    ordered->retire_ordered = true;
+    ordered->retirement_requested = true;
     return RetireVerdict::ordered;
 }
 
 RetirePhase retirePhase(const StoreView& view, const std::string& name) {
     for (const StoreMember& store : view.stores) {
         if (store.member.name != name) continue;
-        return store.retire_ordered ? RetirePhase::in_progress : RetirePhase::none;
+        return store.retirement_requested ? RetirePhase::in_progress : RetirePhase::none;
     }
     const bool retired = std::any_of(view.retired.begin(), view.retired.end(),
                                      [&](const RetiredStore& store) { return store.name == name; });
--- a/src/cluster/control/typed_call.hpp
+++ b/src/cluster/control/typed_call.hpp
@@ -15,7 +15,7 @@
 void callFor(Transport& transport, const NodeAddress& to, MessageKind kind, const Request& request,
              Millis timeout, std::function<void(std::optional<Reply>)> done) {
     transport.call(to, envelope(kind, request), timeout, [done = std::move(done)](CallResult result) {
-        if (result.verdict != Verdict::answered) return done(std::nullopt);
+        if (result.verdict != CallStatus::answered) return done(std::nullopt);
         done(decode<Reply>(result.reply.body));
     });
 }
--- a/src/cluster/control/voter_change.cpp
+++ b/src/cluster/control/voter_change.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 
 namespace amberswitch::cluster {
 namespace {
@@ -142,7 +142,8 @@
     // A majority that is there is also one of a set with a live machine more, or an absent one less. Without
     // it no further change could be made.
     const bool has_majority = tally.live_voters >= majorityOf(tally.voters);
-    if (!has_majority && !isPlanted(PlantedFault::changes_voters_without_majority)) return std::nullopt;
+    if (!has_majority && !isFaultInjected(InjectedFault::changes_voters_without_majority))
+        return std::nullopt;
     if (const auto gone = leaver(tally, tolerated)) return without(current, *gone);
     if (!tally.standby.empty()) return with(current, tally.standby.front());
     if (const auto unneeded = surplus(tally, tolerated)) return without(current, *unneeded);
--- a/src/cluster/edge/accepts.cpp
+++ b/src/cluster/edge/accepts.cpp
@@ -114,11 +114,11 @@
 
 void Accepts::answered(OfferId id, const CallResult& result) {
     Offer& offer = offers_.at(id);
-    if (result.verdict == Verdict::not_executed) {
+    if (result.verdict == CallStatus::not_executed) {
         partitions_.suspect(offer.owner);
         return tryAgain(id, offer);
     }
-    if (result.verdict == Verdict::answered) {
+    if (result.verdict == CallStatus::answered) {
         partitions_.trust(offer.owner);
         if (const auto reply = decode<AcceptMessageReply>(result.reply.body)) return judge(id, offer, *reply);
     }
--- a/src/cluster/edge/callbacks.cpp
+++ b/src/cluster/edge/callbacks.cpp
@@ -103,7 +103,7 @@
 std::size_t Callbacks::allowed(const Receiver& receiver) const {
     // One that refused connections gets a single one until it has answered.
     if (receiver.failures > 0) return 1;
-    return plan_.connections_each;
+    return plan_.connections_per_sender;
 }
 
 void Callbacks::pump(NodeAddress address) {
@@ -143,7 +143,7 @@
     HttpCall call;
     call.to = address;
     call.timeout = kCallTimeout;
-    call.max_connections = plan_.connections_each;
+    call.max_connections = plan_.connections_per_sender;
     call.request.method = "POST";
     call.request.target = parseCallbackUrl(item.work.url)->target;
     call.request.headers = {{"Host", address.text()}, {"Content-Type", "application/json"}};
@@ -156,7 +156,7 @@
 void Callbacks::answered(const NodeAddress& address, Item item, const HttpOutcome& outcome) {
     Receiver& receiver = receivers_[address];
     --receiver.in_flight;
-    const bool answered = outcome.verdict == Verdict::answered;
+    const bool answered = outcome.verdict == CallStatus::answered;
     const bool taken = answered && (outcome.response.status == 200 || outcome.response.status == 400);
     // A receiver resets connections beyond those that it takes, also after it has let them connect.
     const bool refused = !answered && !outcome.timed_out;
--- a/src/cluster/edge/deliveries.cpp
+++ b/src/cluster/edge/deliveries.cpp
@@ -18,7 +18,7 @@
 }
 
 bool isOfCallback(RunOutcome outcome) {
-    return outcome == RunOutcome::callback_taken || outcome == RunOutcome::callback_failed;
+    return outcome == RunOutcome::callback_delivered || outcome == RunOutcome::callback_failed;
 }
 
 bool endsMessage(RunOutcome outcome) {
@@ -172,7 +172,7 @@
     report.id = work.id;
     report.epoch = work.epoch;
     report.attempt = work.attempt;
-    report.outcome = taken ? RunOutcome::callback_taken : RunOutcome::callback_failed;
+    report.outcome = taken ? RunOutcome::callback_delivered : RunOutcome::callback_failed;
     if (taken) recent_ends_.callbackTaken(work.partition, work.id);
     reports_.add(std::move(report));
 }
@@ -217,7 +217,7 @@
     result.callback_started = end.callback_taken;
     if (end.callback_taken) {
         RunResult callback = result;
-        callback.outcome = RunOutcome::callback_taken;
+        callback.outcome = RunOutcome::callback_delivered;
         callback.callback_started = false;
         callback.stamp.clear();
         reports_.add(std::move(callback));
--- a/src/cluster/edge/delivery_answer.cpp
+++ b/src/cluster/edge/delivery_answer.cpp
@@ -60,16 +60,16 @@
 
 DeliveryAnswer judgeAnswer(const HttpOutcome& outcome, bool rate_limited) {
     switch (outcome.verdict) {
-        case Verdict::answered:
+        case CallStatus::answered:
             return judgeResponse(outcome.response, rate_limited);
-        case Verdict::not_executed: {
+        case CallStatus::not_executed: {
             // Without a connection nothing arrived, so that a ceiling does not count it.
             DeliveryAnswer answer =
                 notRun(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
             answer.unreachable = outcome.unreachable;
             return answer;
         }
-        case Verdict::unknown:
+        case CallStatus::unknown:
             break;
     }
     return ran(RunOutcome::unknown, outcome.timed_out ? Outcome::timeout : Outcome::reset);
--- a/src/cluster/edge/edge_node.cpp
+++ b/src/cluster/edge/edge_node.cpp
@@ -23,7 +23,7 @@
                    const NodeSettings& settings, Incarnation incarnation)
     : scheduler_(scheduler),
       transport_(transport),
-      self_{settings.name, settings.zone, settings.internal(PortOffset::edge), incarnation,
+      self_{settings.name, settings.zone, settings.internalAddress(PortOffset::edge), incarnation,
             settings.topology},
       grace_(settings.bounds.grace),
       partitions_(settings.zone, settings.topology),
@@ -127,12 +127,12 @@
 
 GrantPushReply EdgeNode::take(GrantPush push) {
     GrantPushReply answer;
-    answer.other_process = push.edge_incarnation != 0 && push.edge_incarnation != self_.incarnation;
-    const bool takes = !leaving_ && !answer.other_process;
+    answer.edge_restarted = push.edge_incarnation != 0 && push.edge_incarnation != self_.incarnation;
+    const bool takes = !leaving_ && !answer.edge_restarted;
     for (Grant& grant : push.grants) {
         const bool taken = takes && !stale(push, grant) && deliveries_.take(grant);
         ++(taken ? counters_.granted_by_push : counters_.grants_refused);
-        answer.taken.push_back(taken);
+        answer.accepted.push_back(taken);
     }
     return answer;
 }
--- a/src/cluster/edge/owner_links.cpp
+++ b/src/cluster/edge/owner_links.cpp
@@ -46,12 +46,12 @@
     sync.view_epoch = partitions_.epoch();
     sync.leaving = leaving_;
     sync.running = deliveries_.attempts();
-    sync.next_within_ms = kEdgeHeartbeat.count();
+    sync.next_sync_within_ms = kEdgeHeartbeatInterval.count();
     return sync;
 }
 
 void OwnerLinks::syncAll() {
-    heartbeat_ = scheduler_.after(kEdgeHeartbeat, [this] { syncAll(); });
+    heartbeat_ = scheduler_.after(kEdgeHeartbeatInterval, [this] { syncAll(); });
     const EdgeSync sync = describe();
     const Envelope to_near = envelope(MessageKind::edge_sync, sync);
     for (const StoreMember* const store : partitions_.aliveStores()) {
@@ -62,7 +62,7 @@
 }
 
 Envelope OwnerLinks::syncFor(const StoreMember& store, EdgeSync sync) const {
-    sync.next_within_ms = nextWithin(store).count();
+    sync.next_sync_within_ms = nextWithin(store).count();
     return envelope(MessageKind::edge_sync, sync);
 }
 
@@ -72,11 +72,11 @@
 
 // Stores of other regions give their runs to nearer dispatchers while there are any.
 bool OwnerLinks::restsNow(const StoreMember& store) const {
-    return isFar(store) && !leaving_ && heartbeats_ % kHeartbeatsWhileIdle != 0;
+    return isFar(store) && !leaving_ && heartbeats_ % kRemoteIdleHeartbeatFactor != 0;
 }
 
 Millis OwnerLinks::nextWithin(const StoreMember& store) const {
-    return isFar(store) ? kHeartbeatsWhileIdle * kEdgeHeartbeat : kEdgeHeartbeat;
+    return isFar(store) ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval : kEdgeHeartbeatInterval;
 }
 
 bool OwnerLinks::runsFor(const StoreMember& store, const EdgeSync& sync) const {
@@ -95,7 +95,7 @@
 
 void OwnerLinks::send(const NodeAddress& store, const Envelope& request) {
     transport_.call(store, request, kCallTimeout, [this, store](const CallResult& result) {
-        if (result.verdict == Verdict::answered) partitions_.trust(store);
+        if (result.verdict == CallStatus::answered) partitions_.trust(store);
     });
 }
 
--- a/src/cluster/edge/partition_map.hpp
+++ b/src/cluster/edge/partition_map.hpp
@@ -31,7 +31,7 @@
     const StoreMember* owner(PartitionId partition) const;
     std::vector<const StoreMember*> aliveStores() const;
     Distance distanceTo(const StoreMember& store) const {
-        return topology_.between(zone_, store.member.zone);
+        return topology_.distanceBetween(zone_, store.member.zone);
     }
 
     // The partition of everything with this order key on this route. Needs partitions() above 0.
--- a/src/cluster/edge/queries.cpp
+++ b/src/cluster/edge/queries.cpp
@@ -102,7 +102,7 @@
     Query& query = at->second;
     --query.awaited;
     std::optional<StateReply> reply;
-    if (result.verdict == Verdict::answered) reply = decode<StateReply>(result.reply.body);
+    if (result.verdict == CallStatus::answered) reply = decode<StateReply>(result.reply.body);
     if (reply && reply->status == QueryStatus::found) return finish(id, found(query.kind, std::move(*reply)));
     if (reply && reply->status == QueryStatus::not_found) std::erase(query.unasked, partition);
     if (query.awaited == 0) roundOver(id, query);
--- a/src/cluster/edge/run_reports.cpp
+++ b/src/cluster/edge/run_reports.cpp
@@ -71,10 +71,10 @@
     busy_.erase(owner);
     in_flight_ -= batch.size();
     std::optional<RunReportReply> reply;
-    if (result.verdict == Verdict::answered) reply = decode<RunReportReply>(result.reply.body);
+    if (result.verdict == CallStatus::answered) reply = decode<RunReportReply>(result.reply.body);
     std::vector<RunResult> taken;
     for (std::size_t i = 0; i < batch.size(); ++i) {
-        if (reply && i < reply->taken.size() && reply->taken[i]) {
+        if (reply && i < reply->accepted.size() && reply->accepted[i]) {
             taken.push_back(std::move(batch[i]));
             continue;
         }
--- a/src/cluster/edge/server_subset.cpp
+++ b/src/cluster/edge/server_subset.cpp
@@ -89,7 +89,7 @@
     Indices own;
     Indices beyond;
     for (std::size_t index = 0; index < servers.size(); ++index) {
-        const bool is_own = topology.between(zone, servers[index].zone) != Distance::other_region;
+        const bool is_own = topology.distanceBetween(zone, servers[index].zone) != Distance::other_region;
         (is_own ? own : beyond).push_back(index);
     }
     sortByPlace(own, servers, topology);
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -192,7 +192,7 @@
     server.entry.units = units;
     server.entry.zone = zone;
     server.entry.crossing =
-        topology_.between(zone_, listed.zone) == Distance::other_region ? kCrossRegionFactor : 1;
+        topology_.distanceBetween(zone_, listed.zone) == Distance::other_region ? kCrossRegionFactor : 1;
     server.on = standing == Standing::on;
     return changed;
 }
@@ -423,10 +423,10 @@
 // --- Counters ----------------------------------------------------------------------------------------------
 
 void ServiceDispatcher::count(const HttpOutcome& outcome, const DeliveryAnswer& answer) {
-    if (outcome.verdict == Verdict::answered) {
+    if (outcome.verdict == CallStatus::answered) {
         if (outcome.response.status == 421) ++counters_.wrong_instance;
         if (!answer.may_have_run) ++counters_.answered_not_executed;
-    } else if (outcome.verdict == Verdict::not_executed) {
+    } else if (outcome.verdict == CallStatus::not_executed) {
         ++(outcome.unreachable ? counters_.unreachable : counters_.no_free_connection);
     } else {
         ++(outcome.timed_out ? counters_.timed_out : counters_.broken_off);
@@ -450,7 +450,7 @@
         case RunOutcome::unknown:
             ++counters_.unknown;
             return;
-        case RunOutcome::callback_taken:
+        case RunOutcome::callback_delivered:
         case RunOutcome::callback_failed:
             return;
     }
--- a/src/cluster/storage/edge_watch.cpp
+++ b/src/cluster/storage/edge_watch.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Millis kAskTimeout{400};
-// An edge that holds grants sends a heartbeat each kEdgeHeartbeat; this much later it is asked.
+// An edge that holds grants sends a heartbeat each kEdgeHeartbeatInterval; this much later it is asked.
 constexpr Millis kAskSlack{200};
 // An attempt younger than this may not be in the edge's list yet.
 constexpr Millis kListedAfter{300};
@@ -45,7 +45,7 @@
     edge.incarnation = sync.incarnation;
     edge.zone = sync.zone;
     edge.leaving = sync.leaving;
-    if (sync.next_within_ms > 0) edge.heartbeat = Millis(sync.next_within_ms);
+    if (sync.next_sync_within_ms > 0) edge.heartbeat = Millis(sync.next_sync_within_ms);
     edge.synced_epoch = sync.view_epoch;
     edge.running = sync.running;
     for (const RunningAttempt& running : sync.running) granter_.adoptRunning(sync.edge, running, false);
@@ -146,7 +146,7 @@
     takeBackExpired(edge);
     if (edge.name == kUnknownEdge || edge.grants.empty()) return;
     if (edge.asked) return;
-    const bool kept_promise = edge.heard + kEdgeHeartbeat + kAskSlack >= clock_.now();
+    const bool kept_promise = edge.heard + kEdgeHeartbeatInterval + kAskSlack >= clock_.now();
     if (edge.usable && kept_promise) return;
     ask(edge);
 }
@@ -164,10 +164,10 @@
     Edge* const edge = book_.edges.find(name);
     if (edge == nullptr || !edge->asked) return;
     const SteadyTime asked = *std::exchange(edge->asked, std::nullopt);
-    if (result.verdict == Verdict::answered) {
+    if (result.verdict == CallStatus::answered) {
         const auto reply = decode<GrantPushReply>(result.reply.body);
         // A new process tells itself, with its first edge_sync, what it does not run.
-        if (reply && !reply->other_process) heard(name, edge->address);
+        if (reply && !reply->edge_restarted) heard(name, edge->address);
     } else if (edge->heard <= asked) {
         edge->usable = false;
         takeBackUnanswered(*edge, asked);
--- a/src/cluster/storage/edges.cpp
+++ b/src/cluster/storage/edges.cpp
@@ -75,7 +75,7 @@
     Distance least = Distance::other_region;
     for (auto& [name, edge] : edges_) {
         if (!mayTake(edge, now)) continue;
-        const Distance distance = topology_.between(own_zone_, edge.zone);
+        const Distance distance = topology_.distanceBetween(own_zone_, edge.zone);
         if (distance > least) continue;
         if (distance < least) nearest.clear();
         least = distance;
@@ -145,7 +145,7 @@
     // Of equals any: most stores have nothing under way, and must not all take the same one.
     std::shuffle(free.begin(), free.end(), random_);
     const auto key = [&](const Edge* edge) {
-        return std::pair(grantsFor(*edge, receiver), topology_.between(own_zone_, edge->zone));
+        return std::pair(grantsFor(*edge, receiver), topology_.distanceBetween(own_zone_, edge->zone));
     };
     return *std::min_element(free.begin(), free.end(),
                              [&key](const Edge* left, const Edge* right) { return key(left) < key(right); });
--- a/src/cluster/storage/edges.hpp
+++ b/src/cluster/storage/edges.hpp
@@ -27,9 +27,9 @@
     NodeAddress address;
     Incarnation incarnation = 0;
     SteadyTime heard;
-    Millis heartbeat = kEdgeHeartbeat;  // that it promised in its last edge_sync
-    Epoch synced_epoch = 0;             // of the newest view for which it told what it runs
-    bool usable = true;                 // false after a push that failed, until heard again
+    Millis heartbeat = kEdgeHeartbeatInterval;  // that it promised in its last edge_sync
+    Epoch synced_epoch = 0;                     // of the newest view for which it told what it runs
+    bool usable = true;                         // false after a push that failed, until heard again
     bool leaving = false;
     std::optional<SteadyTime> asked;      // whether it is there, and there is no answer yet
     std::vector<RunningAttempt> running;  // as of its last edge_sync
@@ -38,9 +38,9 @@
     // It was asked whether it is there, and nothing came from it since.
     bool isInDoubt() const { return asked && heard <= *asked; }
     // It has not kept its promise: nothing is granted to it before it is heard again.
-    bool isSilent(SteadyTime now) const { return heard + heartbeat + kHeartbeatSlack < now; }
+    bool isSilent(SteadyTime now) const { return heard + heartbeat + kEdgeSilentSlack < now; }
     // Nothing is expected of it any more.
-    bool isGone(SteadyTime now) const { return heard + heartbeat + kHeartbeatGone < now; }
+    bool isGone(SteadyTime now) const { return heard + heartbeat + kEdgeGoneSlack < now; }
 };
 
 class Edges {
@@ -77,7 +77,7 @@
 
 private:
     bool isFar(const Edge& edge) const {
-        return topology_.between(own_zone_, edge.zone) == Distance::other_region;
+        return topology_.distanceBetween(own_zone_, edge.zone) == Distance::other_region;
     }
     // It may be given one more grant.
     static bool mayTake(const Edge& edge, SteadyTime now);
--- a/src/cluster/storage/granter.cpp
+++ b/src/cluster/storage/granter.cpp
@@ -151,22 +151,22 @@
 
 void Granter::onPushResult(const std::string& edge, const std::vector<RunningAttempt>& sent,
                            const CallResult& result) {
-    if (result.verdict == Verdict::answered) {
+    if (result.verdict == CallStatus::answered) {
         const auto reply = decode<GrantPushReply>(result.reply.body);
-        if (!reply || reply->taken.size() != sent.size()) return;
+        if (!reply || reply->accepted.size() != sent.size()) return;
         if (Edge* const pushed = book_.edges.find(edge)) {
             // Nothing more until the new process is heard.
-            if (reply->other_process) pushed->usable = false;
-            if (!reply->other_process) pushed->heard = scheduler_.now();
+            if (reply->edge_restarted) pushed->usable = false;
+            if (!reply->edge_restarted) pushed->heard = scheduler_.now();
         }
         for (std::size_t i = 0; i < sent.size(); ++i) {
-            if (!reply->taken[i]) giveBack(sent[i]);
+            if (!reply->accepted[i]) giveBack(sent[i]);
         }
         schedule();
         return;
     }
     if (Edge* const pushed = book_.edges.find(edge)) pushed->usable = false;
-    if (result.verdict != Verdict::not_executed) return;
+    if (result.verdict != CallStatus::not_executed) return;
     for (const RunningAttempt& attempt : sent) giveBack(attempt);
     schedule();
 }
--- a/src/cluster/storage/outcomes.cpp
+++ b/src/cluster/storage/outcomes.cpp
@@ -63,7 +63,7 @@
         case RunOutcome::not_run:
             ++counters.reported_not_run;
             return;
-        case RunOutcome::callback_taken:
+        case RunOutcome::callback_delivered:
         case RunOutcome::callback_failed:
             return;
     }
@@ -102,7 +102,7 @@
 void Outcomes::applyToCallback(OwnedPartition& owned, QueueItem& item, const RunResult& result) {
     const bool current = item.grant && item.grant->id == AttemptId{result.epoch, result.attempt};
     switch (result.outcome) {
-        case RunOutcome::callback_taken:
+        case RunOutcome::callback_delivered:
             finishCallback(owned, item, DestinationSign::reached);
             break;
         case RunOutcome::callback_failed:
--- a/src/cluster/storage/peering.cpp
+++ b/src/cluster/storage/peering.cpp
@@ -36,7 +36,7 @@
     }
     for (const MessageId& id : reply.dead_letters) listing[id].content = true;
     if (reply.valid) valid_.insert(store);
-    peered_ = std::max(peered_, reply.peered);
+    peered_ = std::max(peered_, reply.peered_epoch);
 }
 
 bool PeeringRound::enough() const {
--- a/src/cluster/storage/peering_driver.cpp
+++ b/src/cluster/storage/peering_driver.cpp
@@ -22,7 +22,7 @@
 
 // The store has synced what peering_done changes; its disk may fail instead.
 bool isTaken(const CallResult& result) {
-    if (result.verdict != Verdict::answered) return false;
+    if (result.verdict != CallStatus::answered) return false;
     const auto answer = decode<Acknowledgement>(result.reply.body);
     return answer && answer->done;
 }
@@ -133,7 +133,7 @@
     Round* const round = findRound(partition, id);
     if (round == nullptr) return;
     round->pulls[store].under_way = false;
-    if (result.verdict != Verdict::answered) return;
+    if (result.verdict != CallStatus::answered) return;
     auto reply = decode<PullReply>(result.reply.body);
     if (!reply) return;
     if (!reply->promised) {  // a newer epoch is out; its view will come
@@ -156,13 +156,13 @@
     // An answer that is not whole tells no running attempts; the rest is asked for at the usual pace.
     const bool first = !round.logic.hasTold(store);
     if (first) round.running.insert(round.running.end(), reply.running.begin(), reply.running.end());
-    if (reply.in_doubt) {
-        if (!reply.whole) return;
+    if (reply.not_durable) {
+        if (!reply.complete) return;
         round.logic.onReplyInDoubt(store);
         round.pulls[store].next = clock_.now() + kPullRetryInDoubt;
         return;
     }
-    if (reply.whole) round.logic.onReply(store, reply);
+    if (reply.complete) round.logic.onReply(store, reply);
     for (const MessageRecord& record : reply.records) hooks_.on_holder(partition, record.content.id, store);
     for (const RecordUpdate& state : reply.states) {
         if (state.phase == Phase::pending) hooks_.on_holder(partition, state.id, store);
--- a/src/cluster/storage/placement.cpp
+++ b/src/cluster/storage/placement.cpp
@@ -47,8 +47,8 @@
         if (!store.alive || store.member.name == self_) continue;
         const std::string& name = store.member.name;
         candidates.push_back({store.member.leaving || store.retiring,
-                              topology_.between(zone_, store.member.zone), rendezvousWeight(name, partition),
-                              name});
+                              topology_.distanceBetween(zone_, store.member.zone),
+                              rendezvousWeight(name, partition), name});
     }
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
         if (a.leaving != b.leaving) return b.leaving;
--- a/src/cluster/storage/placement.hpp
+++ b/src/cluster/storage/placement.hpp
@@ -20,7 +20,7 @@
 class Placement {
 public:
     // `zone`: where the store stands.
-    Placement(std::string self, std::string zone, Topology topology, Tolerance tolerance = {})
+    Placement(std::string self, std::string zone, Topology topology, FaultTolerance tolerance = {})
         : self_(std::move(self)),
           zone_(std::move(zone)),
           topology_(std::move(topology)),
--- a/src/cluster/storage/replicator.cpp
+++ b/src/cluster/storage/replicator.cpp
@@ -14,7 +14,7 @@
 
 // The store has staged what was sent, and its disk works.
 bool isTaken(const CallResult& result, std::size_t requests) {
-    if (result.verdict != Verdict::answered) return false;
+    if (result.verdict != CallStatus::answered) return false;
     const auto reply = decode<ReplicateBatchReply>(result.reply.body);
     return reply && reply->replies.size() == requests;
 }
@@ -109,13 +109,14 @@
     Outbox& outbox = outboxes_[store];
     --outbox.calls_under_way;
     std::optional<ReplicateBatchReply> reply;
-    if (result.verdict == Verdict::answered) reply = decode<ReplicateBatchReply>(result.reply.body);
+    if (result.verdict == CallStatus::answered) reply = decode<ReplicateBatchReply>(result.reply.body);
     const bool complete = reply && reply->replies.size() == entries.size();
     outbox.healthy = complete;
     for (std::size_t i = 0; i < entries.size(); ++i) {
         ReplicateOutcome outcome = ReplicateOutcome::failed;
         if (complete && reply->replies[i].stored) outcome = ReplicateOutcome::stored;
-        if (complete && reply->replies[i].promised > entries[i].epoch) outcome = ReplicateOutcome::fenced;
+        if (complete && reply->replies[i].promised_epoch > entries[i].epoch)
+            outcome = ReplicateOutcome::fenced;
         entries[i].done(outcome);
     }
     scheduleDrain();
--- a/src/cluster/storage/spread_rule.hpp
+++ b/src/cluster/storage/spread_rule.hpp
@@ -15,7 +15,7 @@
 class SpreadRule {
 public:
     SpreadRule() = default;
-    SpreadRule(Tolerance tolerance, Topology topology)
+    SpreadRule(FaultTolerance tolerance, Topology topology)
         : tolerance_(tolerance), topology_(std::move(topology)) {}
 
     // No loss of zones or regions is to be borne: copies may stand anywhere.
@@ -33,7 +33,7 @@
 private:
     std::set<std::string> regionsOf(const Zones& zones) const;
 
-    Tolerance tolerance_;
+    FaultTolerance tolerance_;
     Topology topology_;
 };
 
--- a/src/cluster/storage/store_node.cpp
+++ b/src/cluster/storage/store_node.cpp
@@ -67,10 +67,10 @@
       incarnation_(incarnation),
       clock_(scheduler),
       placement_(settings.name, settings.zone, settings.topology, settings.tolerance),
-      replica_(disk, clock_, settings.bootstrap && disk.wasEmpty(), settings.bounds.status_kept),
+      replica_(disk, clock_, settings.bootstrap && disk.wasEmpty(), settings.bounds.status_retention),
       replicator_(scheduler, transport, placement_, replica_, clock_),
       book_(settings.zone, settings.topology, incarnation),
-      items_(clock_, settings.bounds.status_kept),
+      items_(clock_, settings.bounds.status_retention),
       outcomes_(owned_, book_, replica_, replicator_, items_, clock_, incarnation),
       granter_(scheduler, transport, owned_, book_, outcomes_, replica_, items_, settings.name),
       edge_watch_(transport, owned_, book_, outcomes_, granter_, clock_, settings.name),
@@ -206,7 +206,8 @@
             previous >= 0 && &member == &view_->stores[static_cast<std::size_t>(previous)];
         const bool answers = alive || member.member.leaving || member.member.disk_failed;
         const bool hands_over = previous_owner && answers;
-        return PeerStore{name, alive, hands_over, !member.retiring, member.away_epoch, member.member.zone};
+        return PeerStore{
+            name, alive, hands_over, !member.retiring, member.absent_since_epoch, member.member.zone};
     };
     std::vector<PeerStore> peers;
     for (const std::string& name : placement_.liveOrder(partition)) peers.push_back(peer(name, true));
--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -68,7 +68,7 @@
     // Nobody is told that something has ended on the account of a disk that fails: the edge asks again.
     const bool takes = disk_.healthy();
     for (const RunResult& result : report.results)
-        answer.taken.push_back(takes && outcomes_.apply(report.edge, result));
+        answer.accepted.push_back(takes && outcomes_.apply(report.edge, result));
     respond(reply(answer));
     granter_.schedule();
 }
@@ -118,7 +118,7 @@
     transport_.call(member->member.address, envelope(MessageKind::replica_body, query), kBodyTimeout,
                     [this, query, answer, stores, respond](const CallResult& result) {
                         std::optional<StateReply> found;
-                        if (result.verdict == Verdict::answered)
+                        if (result.verdict == CallStatus::answered)
                             found = decode<StateReply>(result.reply.body);
                         if (!found || found->status != QueryStatus::found)
                             return fetchBody(query, answer, stores, respond);
@@ -152,8 +152,8 @@
 
 ReplicateReply StoreNode::Impl::applyReplicate(ReplicateRequest& request, std::int64_t shift_ms) {
     ReplicateReply answer;
-    answer.promised = replica_.promised(request.partition);
-    answer.stored = answer.promised <= request.epoch;
+    answer.promised_epoch = replica_.promised(request.partition);
+    answer.stored = answer.promised_epoch <= request.epoch;
     // States are facts, whoever tells them; records are taken only from the owner that was promised to.
     OwnedPartition* const owned = findActive(owned_, request.partition);
     for (RecordUpdate& update : request.updates) {
@@ -182,7 +182,7 @@
     replica_.sync([this, request = std::move(request), respond](bool synced) {
         if (replica_.promised(request.partition) > request.epoch) return respond(reply(PullReply{}));
         PullReply answer = pullReply(request);
-        answer.in_doubt = !synced;
+        answer.not_durable = !synced;
         respond(reply(answer));
         if (!synced) return;
         awaiting_pull_.erase(request.partition);
@@ -193,7 +193,7 @@
     PullReply answer;
     answer.promised = true;
     answer.valid = replica_.valid(request.partition);
-    answer.peered = replica_.peered(request.partition);
+    answer.peered_epoch = replica_.peered(request.partition);
     answer.wall_ms = clock_.wallMillis();
     const std::unordered_set<MessageId> known(request.known.begin(), request.known.end());
     std::size_t bytes = 0;
@@ -202,8 +202,8 @@
         auto record = wanted ? replica_.record(request.partition, id) : std::nullopt;
         if (record) {
             bytes += record->content.body.size();
-            answer.whole = bytes <= kMostBytesPerPull || answer.records.empty();
-            if (!answer.whole) return answer;
+            answer.complete = bytes <= kMostBytesPerPull || answer.records.empty();
+            if (!answer.complete) return answer;
             answer.records.push_back(std::move(*record));
         } else if (message.content_on_disk || message.phase != Phase::pending) {
             answer.states.push_back(replica_.state(request.partition, id, message));
--- a/tests/cluster/configuration_test.cpp
+++ b/tests/cluster/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Configurations: the example of PROTOCOL.md, what makes one invalid, and how requests are matched to routes.
+// Parsing of configurations (the example of PROTOCOL.md, invalid input) and matching of requests to routes.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "cluster/common/configuration.hpp"
 
@@ -31,8 +31,8 @@
     return text.replace(at, from.size(), to);
 }
 
-// What ConfigurationError says; empty if nothing is wrong.
-std::string faultOf(const std::string& json) {
+// The text of the ConfigurationError; empty if the configuration is valid.
+std::string errorOf(const std::string& json) {
     try {
         parseConfiguration(json);
     } catch (const ConfigurationError& error) {
@@ -41,11 +41,11 @@
     return "";
 }
 
-std::string faultWith(const std::string& from, const std::string& to) {
-    return faultOf(replaced(kExample, from, to));
+std::string errorWith(const std::string& from, const std::string& to) {
+    return errorOf(replaced(kExample, from, to));
 }
 
-Route routeAt(const std::string& name, const std::string& hostname, const std::string& prefix) {
+Route makeRoute(const std::string& name, const std::string& hostname, const std::string& prefix) {
     Route route;
     route.name = name;
     route.hostname = hostname;
@@ -54,14 +54,14 @@
     return route;
 }
 
-Configuration withRoutes(std::vector<Route> routes) {
+Configuration configurationWith(std::vector<Route> routes) {
     Configuration configuration;
     configuration.routes = std::move(routes);
     configuration.buildIndexes();
     return configuration;
 }
 
-std::string matched(const Configuration& configuration, std::string_view host, std::string_view path) {
+std::string matchedRoute(const Configuration& configuration, std::string_view host, std::string_view path) {
     const Route* route = configuration.match(host, path);
     return route == nullptr ? "" : route->name;
 }
@@ -90,13 +90,13 @@
     CHECK_FALSE(configuration.routes[0].callback);
 
     REQUIRE(configuration.services.size() == 2);
-    const Service& fixed = configuration.services[0];
-    CHECK(fixed.name == "kafi81c");
-    CHECK(fixed.health_check == "/healthz");
-    CHECK(fixed.max_connections == 46);
-    CHECK(fixed.rate_per_s == 39.5);
-    CHECK_FALSE(fixed.idempotent);
-    CHECK(fixed.endpoint == NodeAddress{"172.20.0.3", 8066});
+    const Service& static_service = configuration.services[0];
+    CHECK(static_service.name == "kafi81c");
+    CHECK(static_service.health_check == "/healthz");
+    CHECK(static_service.max_connections == 46);
+    CHECK(static_service.rate_per_s == 39.5);
+    CHECK_FALSE(static_service.idempotent);
+    CHECK(static_service.endpoint == NodeAddress{"172.20.0.3", 8066});
     CHECK(configuration.services[1].idempotent);
     CHECK(configuration.services[1].rate_per_s == 0);
     CHECK_FALSE(configuration.services[1].endpoint.has_value());
@@ -124,30 +124,30 @@
     CHECK(configuration.limits.max_body_bytes == HttpLimits{}.max_body_bytes);
 }
 
-TEST_CASE("fields that are not known are ignored, also when they nest deeply") {
-    CHECK(faultWith("\"generation\":7", R"("generation":7,"later":{"a":[1,{"b":null}]})") == "");
-    CHECK(faultWith("\"ordered\":false", R"("ordered":false,"pace":{"a":1})") == "");
-    CHECK(faultWith("\"tls\":false", R"("tls":"strict","extra":[])") == "");
+TEST_CASE("unknown fields are ignored, also when they are deeply nested") {
+    CHECK(errorWith("\"generation\":7", R"("generation":7,"later":{"a":[1,{"b":null}]})") == "");
+    CHECK(errorWith("\"ordered\":false", R"("ordered":false,"pace":{"a":1})") == "");
+    CHECK(errorWith("\"tls\":false", R"("tls":"strict","extra":[])") == "");
     const std::string deep = std::string(100000, '[') + std::string(100000, ']');
-    CHECK(faultWith("\"generation\":7", "\"generation\":7,\"later\":" + deep) == "");
+    CHECK(errorWith("\"generation\":7", "\"generation\":7,\"later\":" + deep) == "");
 }
 
-TEST_CASE("a route of another type is read, and needs none of the fields of messages") {
-    CHECK(faultWith("deferred", "request") == "");
+TEST_CASE("a route of another type is read, and does not require the fields of deferred routes") {
+    CHECK(errorWith("deferred", "request") == "");
     const std::string other =
         replaced(kExample, "\"maxRetries\":4,\"ordered\":false,\"retentionS\":90.0,", "");
-    CHECK(faultOf(replaced(other, "deferred", "stream")) == "");
-    CHECK(faultOf(other) == "routes[0].maxRetries: is missing on a deferred route");
-    CHECK(faultWith("\"retentionS\":90.5,", "") == "routes[1].retentionS: is missing on a deferred route");
+    CHECK(errorOf(replaced(other, "deferred", "stream")) == "");
+    CHECK(errorOf(other) == "routes[0].maxRetries: is missing on a deferred route");
+    CHECK(errorWith("\"retentionS\":90.5,", "") == "routes[1].retentionS: is missing on a deferred route");
 }
 
-TEST_CASE("JSON that is cut short anywhere, or goes on, is refused") {
+TEST_CASE("JSON that is truncated anywhere, or has trailing text, is rejected") {
     for (std::size_t length = 0; length < kExample.size(); ++length) {
         CHECK_THROWS_AS(parseConfiguration(kExample.substr(0, length)), ConfigurationError);
     }
-    CHECK(faultOf(kExample + "\n ") == "");
-    CHECK(faultOf(kExample + "}").starts_with("byte " + std::to_string(kExample.size()) + ": "));
-    CHECK(faultOf(kExample.substr(0, 30)).starts_with("byte 30: "));
+    CHECK(errorOf(kExample + "\n ") == "");
+    CHECK(errorOf(kExample + "}").starts_with("byte " + std::to_string(kExample.size()) + ": "));
+    CHECK(errorOf(kExample.substr(0, 30)).starts_with("byte 30: "));
     CHECK_THROWS_AS(parseConfiguration(std::string(262144, '[')), ConfigurationError);
     CHECK_THROWS_AS(parseConfiguration(std::string(100000, '[') + std::string(100000, ']')),
                     ConfigurationError);
@@ -155,54 +155,54 @@
     CHECK_THROWS_AS(parseConfiguration(std::string("{\0}", 3)), ConfigurationError);
 }
 
-TEST_CASE("what is no configuration is refused") {
-    CHECK(faultOf("null") == "configuration: Value type not permitted by 'type' constraint.");
-    CHECK(faultOf("[]") == "configuration: Value type not permitted by 'type' constraint.");
-    CHECK(faultOf("{}") == "configuration: Missing required property 'generation'.");
+TEST_CASE("JSON that is not a configuration is rejected") {
+    CHECK(errorOf("null") == "configuration: Value type not permitted by 'type' constraint.");
+    CHECK(errorOf("[]") == "configuration: Value type not permitted by 'type' constraint.");
+    CHECK(errorOf("{}") == "configuration: Missing required property 'generation'.");
 }
 
-TEST_CASE("a route that names a service that is not there is refused") {
-    CHECK(faultWith("\"backend\":\"wuno96b\"", "\"backend\":\"gone\"") ==
+TEST_CASE("a route that names a missing service is rejected") {
+    CHECK(errorWith("\"backend\":\"wuno96b\"", "\"backend\":\"gone\"") ==
           "routes[1].backend: there is no service 'gone'");
 }
 
-TEST_CASE("two routes with the same host and prefix are refused") {
+TEST_CASE("two routes with the same host and prefix are rejected") {
     const std::string same_host = replaced(kExample, "huno84.example", "boye61.example");
-    CHECK(faultOf(same_host) == "");
+    CHECK(errorOf(same_host) == "");
     const std::string expected = "routes[1].pathPrefix: route 'r-kxxmibw' has the same host and prefix";
-    CHECK(faultOf(replaced(same_host, "/tije31/ye75/", "/dera652/")) == expected);
+    CHECK(errorOf(replaced(same_host, "/tije31/ye75/", "/dera652/")) == expected);
     const std::string other_case = replaced(kExample, "huno84.example", "BOYE61.Example");
-    CHECK(faultOf(replaced(other_case, "/tije31/ye75/", "/dera652/")) == expected);
-    CHECK(faultWith("/tije31/ye75/", "/dera652/") == "");
+    CHECK(errorOf(replaced(other_case, "/tije31/ye75/", "/dera652/")) == expected);
+    CHECK(errorWith("/tije31/ye75/", "/dera652/") == "");
 }
 
-TEST_CASE("names that occur twice are refused") {
-    CHECK(faultWith("r-yhks8nb", "r-kxxmibw") == "routes[1].name: there is another route 'r-kxxmibw'");
+TEST_CASE("duplicate names are rejected") {
+    CHECK(errorWith("r-yhks8nb", "r-kxxmibw") == "routes[1].name: there is another route 'r-kxxmibw'");
     const std::string same = replaced(kExample, R"("name":"wuno96b")", R"("name":"kafi81c")");
-    CHECK(faultOf(same) == "services[1].name: there is another service 'kafi81c'");
+    CHECK(errorOf(same) == "services[1].name: there is another service 'kafi81c'");
 }
 
-TEST_CASE("a time-out of 0 or less is refused") {
-    CHECK(faultWith("\"timeoutMs\":800", "\"timeoutMs\":0").starts_with("routes[1].timeoutMs: "));
-    CHECK(faultWith("\"timeoutMs\":800", "\"timeoutMs\":0.0").starts_with("routes[1].timeoutMs: "));
-    CHECK(faultWith("\"timeoutMs\":800", "\"timeoutMs\":-1").starts_with("routes[1].timeoutMs: "));
-    const Configuration short_one =
+TEST_CASE("a time-out of 0 or less is rejected") {
+    CHECK(errorWith("\"timeoutMs\":800", "\"timeoutMs\":0").starts_with("routes[1].timeoutMs: "));
+    CHECK(errorWith("\"timeoutMs\":800", "\"timeoutMs\":0.0").starts_with("routes[1].timeoutMs: "));
+    CHECK(errorWith("\"timeoutMs\":800", "\"timeoutMs\":-1").starts_with("routes[1].timeoutMs: "));
+    const Configuration with_short_timeout =
         parseConfiguration(replaced(kExample, "\"timeoutMs\":800", "\"timeoutMs\":0.25"));
-    CHECK(short_one.routes[1].timeout == Millis(1));
+    CHECK(with_short_timeout.routes[1].timeout == Millis(1));
 }
 
-TEST_CASE("each field that is missing is named") {
+TEST_CASE("the error names each missing field") {
     const std::string missing = ": Missing required property '";
-    CHECK(faultWith("\"generation\"", "\"x\"") == "configuration" + missing + "generation'.");
-    CHECK(faultWith("\"routes\"", "\"x\"") == "configuration" + missing + "routes'.");
-    CHECK(faultWith("\"services\"", "\"x\"") == "configuration" + missing + "services'.");
+    CHECK(errorWith("\"generation\"", "\"x\"") == "configuration" + missing + "generation'.");
+    CHECK(errorWith("\"routes\"", "\"x\"") == "configuration" + missing + "routes'.");
+    CHECK(errorWith("\"services\"", "\"x\"") == "configuration" + missing + "services'.");
     for (const std::string name : {"name", "hostname", "pathPrefix", "type", "timeoutMs", "backend"}) {
-        CHECK(faultWith("\"" + name + "\"", "\"x\"") == "routes[0]" + missing + name + "'.");
+        CHECK(errorWith("\"" + name + "\"", "\"x\"") == "routes[0]" + missing + name + "'.");
     }
-    CHECK(faultWith("\"maxConnections\"", "\"x\"") == "services[0]" + missing + "maxConnections'.");
+    CHECK(errorWith("\"maxConnections\"", "\"x\"") == "services[0]" + missing + "maxConnections'.");
 }
 
-TEST_CASE("each field of the wrong kind is named") {
+TEST_CASE("the error names each field of the wrong type or range") {
     struct WrongField {
         std::string from;
         std::string to;
@@ -244,14 +244,14 @@
     };
     for (const WrongField& wrong : wrong_fields) {
         CAPTURE(wrong.to);
-        CHECK(faultWith(wrong.from, wrong.to).starts_with(wrong.field + ": "));
+        CHECK(errorWith(wrong.from, wrong.to).starts_with(wrong.field + ": "));
     }
-    CHECK(faultOf(R"({"generation":1,"routes":{},"services":[]})").starts_with("routes: "));
-    CHECK(faultOf(R"({"generation":1,"routes":[],"services":[3]})").starts_with("services[0]: "));
-    CHECK(faultOf(R"({"generation":1,"routes":[],"services":[],"limits":[]})").starts_with("limits: "));
+    CHECK(errorOf(R"({"generation":1,"routes":{},"services":[]})").starts_with("routes: "));
+    CHECK(errorOf(R"({"generation":1,"routes":[],"services":[3]})").starts_with("services[0]: "));
+    CHECK(errorOf(R"({"generation":1,"routes":[],"services":[],"limits":[]})").starts_with("limits: "));
 }
 
-TEST_CASE("numbers may be written whole or as fractions, and are bounded where they are huge") {
+TEST_CASE("integers may be written with a fraction of 0, and huge numbers are clamped") {
     const std::string floats = replaced(replaced(kExample, "\"generation\":7", "\"generation\":7.0"),
                                         "\"maxConnections\":46", "\"maxConnections\":46.0");
     CHECK(parseConfiguration(floats).generation == 7);
@@ -260,53 +260,54 @@
                                       "\"maxRetries\":4", "\"maxRetries\":1e18");
     CHECK(parseConfiguration(huge).routes[0].retention > std::chrono::hours(24 * 365));
     CHECK(parseConfiguration(huge).routes[0].max_retries == 4294967295U);
-    const Configuration never =
+    const Configuration without_retries =
         parseConfiguration(replaced(kExample, "\"maxRetries\":4", "\"maxRetries\":0"));
-    CHECK(never.routes[0].max_retries == 1);
+    CHECK(without_retries.routes[0].max_retries == 1);
 }
 
-TEST_CASE("the longest prefix with which the path begins is matched") {
-    const Configuration configuration =
-        withRoutes({routeAt("short", "h", "/a/"), routeAt("long", "h", "/a/b/"), routeAt("all", "h", "/"),
-                    routeAt("part", "h", "/a/b/c"), routeAt("other", "i", "/a/b/c/d/")});
-    CHECK(matched(configuration, "h", "/a/b/x") == "long");
-    CHECK(matched(configuration, "h", "/a/b/") == "long");
-    CHECK(matched(configuration, "h", "/a/b") == "short");
-    CHECK(matched(configuration, "h", "/a/b/cd") == "part");
-    CHECK(matched(configuration, "h", "/a/b/c/d/e") == "part");
-    CHECK(matched(configuration, "h", "/A/b/x") == "all");
-    CHECK(matched(configuration, "h", "/a") == "all");
-    CHECK(matched(configuration, "h", "") == "");
-    CHECK(matched(configuration, "i", "/a/b/c/d/e") == "other");
-    CHECK(matched(configuration, "i", "/a/b/c/d") == "");
+TEST_CASE("the longest matching path prefix wins") {
+    const Configuration configuration = configurationWith(
+        {makeRoute("short", "h", "/a/"), makeRoute("long", "h", "/a/b/"), makeRoute("all", "h", "/"),
+         makeRoute("part", "h", "/a/b/c"), makeRoute("other", "i", "/a/b/c/d/")});
+    CHECK(matchedRoute(configuration, "h", "/a/b/x") == "long");
+    CHECK(matchedRoute(configuration, "h", "/a/b/") == "long");
+    CHECK(matchedRoute(configuration, "h", "/a/b") == "short");
+    CHECK(matchedRoute(configuration, "h", "/a/b/cd") == "part");
+    CHECK(matchedRoute(configuration, "h", "/a/b/c/d/e") == "part");
+    CHECK(matchedRoute(configuration, "h", "/A/b/x") == "all");
+    CHECK(matchedRoute(configuration, "h", "/a") == "all");
+    CHECK(matchedRoute(configuration, "h", "") == "");
+    CHECK(matchedRoute(configuration, "i", "/a/b/c/d/e") == "other");
+    CHECK(matchedRoute(configuration, "i", "/a/b/c/d") == "");
 }
 
-TEST_CASE("the query is no part of the path") {
-    const Configuration configuration = withRoutes({routeAt("a", "h", "/a/"), routeAt("ab", "h", "/a/b/")});
-    CHECK(matched(configuration, "h", "/a/?x=/b/") == "a");
-    CHECK(matched(configuration, "h", "/a?/b/") == "");
-    CHECK(matched(configuration, "h", "/a/b/?") == "ab");
+TEST_CASE("the query is not matched as part of the path") {
+    const Configuration configuration =
+        configurationWith({makeRoute("a", "h", "/a/"), makeRoute("ab", "h", "/a/b/")});
+    CHECK(matchedRoute(configuration, "h", "/a/?x=/b/") == "a");
+    CHECK(matchedRoute(configuration, "h", "/a?/b/") == "");
+    CHECK(matchedRoute(configuration, "h", "/a/b/?") == "ab");
 }
 
-TEST_CASE("the host is matched without its port and without case") {
+TEST_CASE("the host is matched without its port and case-insensitively") {
     const Configuration configuration =
-        withRoutes({routeAt("a", "Boye61.Example", "/"), routeAt("b", "[::1]", "/")});
-    CHECK(matched(configuration, "boye61.example", "/x") == "a");
-    CHECK(matched(configuration, "BOYE61.EXAMPLE:8069", "/x") == "a");
-    CHECK(matched(configuration, "boye61.example:", "/x") == "a");
-    CHECK(matched(configuration, "boye61.example.", "/x") == "");
-    CHECK(matched(configuration, "oye61.example", "/x") == "");
-    CHECK(matched(configuration, "", "/x") == "");
-    CHECK(matched(configuration, ":8069", "/x") == "");
-    CHECK(matched(configuration, "[::1]:80", "/x") == "b");
-    CHECK(matched(configuration, "[::1", "/x") == "");
+        configurationWith({makeRoute("a", "Boye61.Example", "/"), makeRoute("b", "[::1]", "/")});
+    CHECK(matchedRoute(configuration, "boye61.example", "/x") == "a");
+    CHECK(matchedRoute(configuration, "BOYE61.EXAMPLE:8069", "/x") == "a");
+    CHECK(matchedRoute(configuration, "boye61.example:", "/x") == "a");
+    CHECK(matchedRoute(configuration, "boye61.example.", "/x") == "");
+    CHECK(matchedRoute(configuration, "oye61.example", "/x") == "");
+    CHECK(matchedRoute(configuration, "", "/x") == "");
+    CHECK(matchedRoute(configuration, ":8069", "/x") == "");
+    CHECK(matchedRoute(configuration, "[::1]:80", "/x") == "b");
+    CHECK(matchedRoute(configuration, "[::1", "/x") == "");
 }
 
-TEST_CASE("a route that is gone from a list filled anew is not matched any more") {
-    Configuration configuration = withRoutes({routeAt("a", "h", "/a/"), routeAt("b", "h", "/b/")});
+TEST_CASE("a removed route is no longer matched once the indexes are rebuilt") {
+    Configuration configuration = configurationWith({makeRoute("a", "h", "/a/"), makeRoute("b", "h", "/b/")});
     configuration.routes.pop_back();
     configuration.buildIndexes();
-    CHECK(matched(configuration, "h", "/b/") == "");
-    CHECK(matched(configuration, "h", "/a/") == "a");
+    CHECK(matchedRoute(configuration, "h", "/b/") == "");
+    CHECK(matchedRoute(configuration, "h", "/a/") == "a");
     CHECK(configuration.route("b") == nullptr);
 }
--- a/tests/cluster/configuration_update_test.cpp
+++ b/tests/cluster/configuration_update_test.cpp
@@ -1,4 +1,4 @@
-// Differences between configurations, their bytes, and their pages.
+// Configuration updates: differences, encoding and transfer in pages.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "cluster/common/configuration_update.hpp"
 
@@ -37,20 +37,21 @@
     return route;
 }
 
-// A part of 40 services and their routes, each with a time-out of its own.
-Configuration drawConfiguration(std::mt19937_64& random, std::int64_t generation) {
-    Configuration drawn;
-    drawn.generation = generation;
+// A random subset of 40 services and their routes; each route has one of two time-outs.
+Configuration randomConfiguration(std::mt19937_64& random, std::int64_t generation) {
+    Configuration configuration;
+    configuration.generation = generation;
     for (std::size_t i = 0; i < 40; ++i) {
         if (random() % 4 == 0) continue;
-        drawn.services.push_back(makeService(i));
+        configuration.services.push_back(makeService(i));
         if (random() % 8 != 0)
-            drawn.routes.push_back(makeRoute(i, drawn.services.back(), Millis(1000 + random() % 2)));
+            configuration.routes.push_back(
+                makeRoute(i, configuration.services.back(), Millis(1000 + random() % 2)));
     }
-    std::shuffle(drawn.routes.begin(), drawn.routes.end(), random);
-    drawn.limits.max_body_bytes = 1000 + random() % 2;
-    drawn.buildIndexes();
-    return drawn;
+    std::shuffle(configuration.routes.begin(), configuration.routes.end(), random);
+    configuration.limits.max_body_bytes = 1000 + random() % 2;
+    configuration.buildIndexes();
+    return configuration;
 }
 
 template <class Entry>
@@ -70,8 +71,8 @@
     return {generation, largeConfiguration(generation, services), {}};
 }
 
-// Fetches by pages as a dispatcher does; the number of pages, and the update's bytes.
-std::pair<int, std::string> fetch(ConfigurationHistory& from, const KnownConfiguration& base) {
+// Fetches an update in pages as a dispatcher does. Returns the number of pages and the update's bytes.
+std::pair<int, std::string> fetch(ConfigurationHistory& from, const ConfigurationVersion& base) {
     ConfigurationAssembler assembler;
     for (int pages = 1; pages < 1000; ++pages) {
         const auto bytes = assembler.add(from.updateFrom(base).pageAfter(assembler.progress()));
@@ -84,41 +85,41 @@
 
 TEST_CASE("an update leads from its base to exactly the next configuration, whatever changed between them") {
     std::mt19937_64 random(7);
-    Configuration before = drawConfiguration(random, 1);
+    Configuration before = randomConfiguration(random, 1);
     for (std::int64_t generation = 2; generation < 300; ++generation) {
         CAPTURE(generation);
-        const Configuration next = drawConfiguration(random, generation);
-        const auto update = decodeUpdate(encodeUpdate(updateFrom(&before, next)));
+        const Configuration next = randomConfiguration(random, generation);
+        const auto update = decodeUpdate(encodeUpdate(makeUpdate(&before, next)));
         REQUIRE(update);
-        const Configuration reached = applyUpdate(&before, *update);
-        CHECK(sameContent(reached, next));
+        const Configuration updated = applyUpdate(&before, *update);
+        CHECK(sameContent(updated, next));
         for (const Route& route : next.routes) {
-            const Route* const matched = reached.match(route.hostname, "/a/b");
+            const Route* const matched = updated.match(route.hostname, "/a/b");
             CHECK((matched != nullptr && *matched == route));
         }
-        const auto whole = decodeUpdate(encodeUpdate(updateFrom(nullptr, next)));
+        const auto whole = decodeUpdate(encodeUpdate(makeUpdate(nullptr, next)));
         REQUIRE(whole);
         CHECK(sameContent(applyUpdate(nullptr, *whole), next));
-        before = reached;
+        before = updated;
     }
 }
 
-TEST_CASE("an update is refused on another base than its own, and where it leads to a service that is none") {
+TEST_CASE("an update is rejected on another base, and if a route then names a missing service") {
     std::mt19937_64 random(3);
-    const Configuration first = drawConfiguration(random, 1);
-    const Configuration second = drawConfiguration(random, 2);
-    const Configuration third = drawConfiguration(random, 3);
-    const ConfigurationUpdate update = updateFrom(&second, third);
+    const Configuration first = randomConfiguration(random, 1);
+    const Configuration second = randomConfiguration(random, 2);
+    const Configuration third = randomConfiguration(random, 3);
+    const ConfigurationUpdate update = makeUpdate(&second, third);
     CHECK_THROWS_AS(applyUpdate(&first, update), ConfigurationError);
     CHECK_THROWS_AS(applyUpdate(nullptr, update), ConfigurationError);
-    ConfigurationUpdate lacking = updateFrom(nullptr, third);
-    lacking.services.clear();
-    CHECK_THROWS_AS(applyUpdate(nullptr, lacking), ConfigurationError);
+    ConfigurationUpdate without_services = makeUpdate(nullptr, third);
+    without_services.services.clear();
+    CHECK_THROWS_AS(applyUpdate(nullptr, without_services), ConfigurationError);
 }
 
-TEST_CASE("bytes that are damaged, cut short or larger than allowed are not taken for an update") {
+TEST_CASE("bytes that are corrupt, truncated or larger than allowed are not decoded as an update") {
     std::mt19937_64 random(5);
-    const std::string bytes = encodeUpdate(updateFrom(nullptr, drawConfiguration(random, 1)));
+    const std::string bytes = encodeUpdate(makeUpdate(nullptr, randomConfiguration(random, 1)));
     CHECK(decodeUpdate(bytes));
     CHECK_FALSE(decodeUpdate(bytes.substr(0, bytes.size() / 2)));
     CHECK_FALSE(decodeUpdate(bytes + "more"));
@@ -127,18 +128,18 @@
     CHECK_FALSE(decodeUpdate(damaged));
     CHECK_FALSE(decodeUpdate(""));
     const std::string text(100'000, 'a');
-    CHECK(decompressed(compressed(text), text.size()) == text);
-    CHECK_FALSE(decompressed(compressed(text), text.size() - 1));
-    CHECK(looksCompressed(compressed(text)));
+    CHECK(decompress(compress(text), text.size()) == text);
+    CHECK_FALSE(decompress(compress(text), text.size() - 1));
+    CHECK(looksCompressed(compress(text)));
     CHECK_FALSE(looksCompressed("{"));
 }
 
-TEST_CASE("a changed time-out costs the same bytes with a thousand services as with ten thousand") {
+TEST_CASE("the update for a changed time-out is as small with ten thousand services as with a thousand") {
     for (const std::size_t services : {1'000, 10'000}) {
         CAPTURE(services);
         ConfigurationHistory history;
         REQUIRE(history.add(stateOf(4, services)));
-        const KnownConfiguration base = history.updateFrom({}).configuration;
+        const ConfigurationVersion base = history.updateFrom({}).configuration;
         REQUIRE(history.add(stateOf(5, services)));
         const EncodedUpdate& update = history.updateFrom(base);
         CHECK(update.base_generation == 4);
@@ -146,7 +147,7 @@
     }
 }
 
-TEST_CASE("a large configuration comes in pages, and goes on at another core machine where one was left") {
+TEST_CASE("a large configuration is sent in pages, and the transfer can continue at another core machine") {
     ConfigurationHistory first;
     ConfigurationHistory second;
     REQUIRE(first.add(stateOf(4, 10'000)));
@@ -157,35 +158,35 @@
     for (int page = 0; page < 3; ++page)
         CHECK_FALSE(assembler.add(first.updateFrom({}).pageAfter(assembler.progress())));
     CHECK(assembler.progress().received_bytes > 0);
-    int more = 0;
+    int remaining_pages = 0;
     std::optional<std::string> bytes;
-    while (!bytes && more < 1000) {
-        ++more;
+    while (!bytes && remaining_pages < 1000) {
+        ++remaining_pages;
         bytes = assembler.add(second.updateFrom({}).pageAfter(assembler.progress()));
     }
-    CHECK(more == pages - 3);
+    CHECK(remaining_pages == pages - 3);
     CHECK(bytes == whole);
 }
 
-TEST_CASE("a first page that comes again costs no progress") {
+TEST_CASE("a repeated first page does not reset the progress") {
     ConfigurationHistory history;
     REQUIRE(history.add(stateOf(5, 10'000)));
     const auto [pages, whole] = fetch(history, {});
     ConfigurationAssembler assembler;
     const ConfigurationPage first = history.updateFrom({}).pageAfter({});
     std::optional<std::string> bytes;
-    int taken = 0;
-    while (!bytes && taken < 1000) {
-        ++taken;
+    int pages_received = 0;
+    while (!bytes && pages_received < 1000) {
+        ++pages_received;
         bytes = assembler.add(history.updateFrom({}).pageAfter(assembler.progress()));
         if (bytes) break;
         CHECK_FALSE(assembler.add(first));
     }
-    CHECK(taken == pages);
+    CHECK(pages_received == pages);
     CHECK(bytes == whole);
 }
 
-TEST_CASE("pages of a configuration that has changed meanwhile are dropped, and those of the new one taken") {
+TEST_CASE("pages of an outdated configuration are dropped once pages of the new one arrive") {
     ConfigurationHistory history;
     REQUIRE(history.add(stateOf(4, 10'000)));
     ConfigurationAssembler assembler;
@@ -199,19 +200,19 @@
     const auto update = decodeUpdate(*bytes);
     REQUIRE(update);
     CHECK(update->generation == 5);
-    ConfigurationPage wrong = old_page;
-    wrong.total_bytes = wrong.bytes.size();
-    CHECK_FALSE(assembler.add(wrong));  // its bytes are not those of its digest
+    ConfigurationPage truncated = old_page;
+    truncated.total_bytes = truncated.bytes.size();
+    CHECK_FALSE(assembler.add(truncated));  // its bytes do not match its digest
     CHECK(assembler.progress().received_bytes == 0);
 }
 
-TEST_CASE("a base that is not kept any more, or has other contents under its number, gets the whole") {
+TEST_CASE("a base that is no longer kept, or whose digest differs, gets the complete configuration") {
     ConfigurationHistory history;
     for (std::int64_t generation = 1; generation <= 40; ++generation) {
         REQUIRE(history.add(stateOf(generation, 3)));
     }
     CHECK(history.updateFrom({1, 5}).base_generation == 0);
-    const KnownConfiguration newest = history.updateFrom({}).configuration;
+    const ConfigurationVersion newest = history.updateFrom({}).configuration;
     REQUIRE(history.add(stateOf(41, 3)));
     CHECK(history.updateFrom(newest).base_generation == 40);
     CHECK(history.updateFrom({40, newest.digest + 1}).base_generation == 0);
--- a/tests/cluster/control_cut_off_test.cpp
+++ b/tests/cluster/control_cut_off_test.cpp
@@ -253,7 +253,7 @@
     // Polls of newcomers, and of those that have what was acknowledged before the last one.
     void probe() {
         for (const auto& machine : world_.core) {
-            const NodeAddress address = machine->settings().internal(PortOffset::core);
+            const NodeAddress address = machine->settings().internalAddress(PortOffset::core);
             for (MemoryTransport* from : {&roaming_probe_, &bound_probe_}) {
                 poll(*from, address, 0);
                 poll(*from, address, newestAcknowledged() - 1);
@@ -271,7 +271,7 @@
         const std::int64_t newest = newestAcknowledged();
         from.call(to, envelope(MessageKind::watch, request), Millis(500), [this, newest](CallResult result) {
             const auto answer = decode<WatchReply>(result.reply.body);
-            if (result.verdict != Verdict::answered || !answer) return;
+            if (result.verdict != CallStatus::answered || !answer) return;
             if (!answer->config) return void(++failures_.held);
             if (answer->config->configuration.generation < newest) ++failures_.old;
         });
--- a/tests/cluster/control_distribution_test.cpp
+++ b/tests/cluster/control_distribution_test.cpp
@@ -271,7 +271,7 @@
     };
     ConfigurationHistory history;
     history.add({4, configurationJson(4), {}});
-    const KnownConfiguration fourth = history.updateFrom({}).configuration;
+    const ConfigurationVersion fourth = history.updateFrom({}).configuration;
     answer(history.updateFrom({}).pageAfter({}));
     REQUIRE(!core.watches.empty());
     CHECK(core.watches.back().config_base == fourth);
@@ -283,7 +283,7 @@
     history.add({6, configurationJson(6), {}});
     answer(history.updateFrom(fourth).pageAfter({}));  // rests on what the client has no more
     CHECK(play.client->client().configuration()->generation == 5);
-    CHECK(core.watches.back().config_base == KnownConfiguration{});
+    CHECK(core.watches.back().config_base == ConfigurationVersion{});
     CHECK(core.watches.back().config_generation == 5);
     answer(history.updateFrom({}).pageAfter({}));
     CHECK(play.client->generations == std::vector<std::int64_t>{4, 5, 6});
--- a/tests/cluster/control_listener_test.cpp
+++ b/tests/cluster/control_listener_test.cpp
@@ -104,7 +104,7 @@
         call.timeout = kCallTimeout;
         client_.send(std::move(call), [this, request](HttpOutcome outcome) {
             constexpr int kOutcomeNotKnown = 503;
-            const bool answered = outcome.verdict == Verdict::answered;
+            const bool answered = outcome.verdict == CallStatus::answered;
             if (answered && outcome.response.status != kOutcomeNotKnown) {
                 answer_ = std::move(outcome.response);
             } else {
--- a/tests/cluster/control_operators_test.cpp
+++ b/tests/cluster/control_operators_test.cpp
@@ -111,7 +111,7 @@
     }
 
     // All changes that were ever in force: what a last change finds remembered.
-    std::vector<TakenChange> history() {
+    std::vector<AcceptedChange> history() {
         takeNext(1'000'000);
         AcceptedRecord newest;
         for (auto& machine : core) {
@@ -121,19 +121,19 @@
         }
         const auto state = decode<ConfigurationState>(newest.value);
         REQUIRE(state.has_value());
-        return state->taken;
+        return state->accepted_changes;
     }
     // Told and true are the same: a taken order never got a refusal, another one never a confirmation, and on
     // each version there is one.
     void checkAnswers() {
-        const std::vector<TakenChange> taken = history();
+        const std::vector<AcceptedChange> taken = history();
         std::int64_t base = 0;
-        for (const TakenChange& change : taken) {
+        for (const AcceptedChange& change : taken) {
             CHECK(change.base == base);
             base = change.generation;
         }
         for (const Order& order : orders_) {
-            const bool in_force = std::any_of(taken.begin(), taken.end(), [&](const TakenChange& change) {
+            const bool in_force = std::any_of(taken.begin(), taken.end(), [&](const AcceptedChange& change) {
                 return change == changeOf(order);
             });
             for (const int answer : order.answers) {
@@ -144,7 +144,7 @@
     }
 
 private:
-    static TakenChange changeOf(const Order& order) {
+    static AcceptedChange changeOf(const Order& order) {
         return {order.generation, order.base, XXH64(order.body.data(), order.body.size(), 0)};
     }
     bool isLost(const CoreMachine& machine) const {
--- a/tests/cluster/control_store_view_test.cpp
+++ b/tests/cluster/control_store_view_test.cpp
@@ -101,14 +101,14 @@
     }
     CHECK_FALSE(nextView(*after, {silent(store("s1"))}, kSettled));
     SUBCASE("the view tells since when it has been away") {
-        CHECK(after->stores[1].away_epoch == 2);
+        CHECK(after->stores[1].absent_since_epoch == 2);
         const auto later = nextView(*after, {silent(store("s1")), silent(store("s2"))}, kSettled);
         REQUIRE(later);
-        CHECK(later->stores[1].away_epoch == 2);
-        CHECK(later->stores[2].away_epoch == 3);
+        CHECK(later->stores[1].absent_since_epoch == 2);
+        CHECK(later->stores[2].absent_since_epoch == 3);
         const auto back = nextView(*later, {store("s1")}, kSettled);
         REQUIRE(back);
-        CHECK(back->stores[1].away_epoch == 0);
+        CHECK(back->stores[1].absent_since_epoch == 0);
     }
     SUBCASE("it is taken back when it is heard again, with its even share") {
         const auto back = nextView(*after, {store("s1")}, kSettled);
--- a/tests/cluster/control_window_test.cpp
+++ b/tests/cluster/control_window_test.cpp
@@ -26,13 +26,13 @@
     return generations;
 }
 
-TakenChange changeTo(std::int64_t generation, std::int64_t base, std::uint64_t digest = 1) {
+AcceptedChange changeTo(std::int64_t generation, std::int64_t base, std::uint64_t digest = 1) {
     return {generation, base, digest};
 }
 
 // All changes that were taken, and the state after them.
 struct History {
-    std::vector<TakenChange> changes;
+    std::vector<AcceptedChange> changes;
     ConfigurationState state;
 
     explicit History(int count) {
@@ -45,7 +45,7 @@
         REQUIRE(decision.write);
         state = decision.next;
     }
-    ReplaceVerdict verdictOf(const TakenChange& change) const {
+    ReplaceVerdict verdictOf(const AcceptedChange& change) const {
         const ReplaceDecision decision = decideReplace(state, change, "body");
         if (change.base != state.generation) CHECK_FALSE(decision.write);
         return decision.verdict;
@@ -74,7 +74,7 @@
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::taken);
     const std::int64_t next = history.state.generation + 3;
     history.take(next);
-    CHECK(history.state.taken.size() == kTakenKept);
+    CHECK(history.state.accepted_changes.size() == kTakenKept);
     CHECK(newestForgotten(history.state) == history.changes[0].generation);
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::forgotten);
     CHECK(history.verdictOf(history.changes[1]) == ReplaceVerdict::taken);
@@ -92,7 +92,7 @@
     CHECK(history.verdictOf(changeTo(1, current, 9)) == ReplaceVerdict::generation_too_low);
     // A rival of each remembered change, with its number or another one: the base is not the current version.
     for (std::size_t index = kChanges - kTakenKept; index < history.changes.size(); ++index) {
-        const TakenChange& won = history.changes[index];
+        const AcceptedChange& won = history.changes[index];
         CHECK(history.verdictOf(changeTo(won.generation, won.base, 9)) == ReplaceVerdict::other_base);
         CHECK(history.verdictOf(changeTo(current + 1, won.base, 9)) == ReplaceVerdict::other_base);
     }
--- a/tests/cluster/control_world.hpp
+++ b/tests/cluster/control_world.hpp
@@ -104,7 +104,7 @@
             world_.at(world_.now() + call.timeout, [done, outcome] { done(outcome); });
             return;
         }
-        outcome.verdict = Verdict::answered;
+        outcome.verdict = CallStatus::answered;
         outcome.response = answer(call.request.target);
         world_.at(world_.now() + Millis(2), [done, outcome] { done(outcome); });
     }
@@ -181,7 +181,7 @@
         scheduler_ = std::make_unique<SimulatedScheduler>(world_);
         disk_ = std::make_unique<FakeDisk>(*scheduler_, content_);
         transport_ =
-            std::make_unique<MemoryTransport>(world_, network_, settings_.internal(PortOffset::core));
+            std::make_unique<MemoryTransport>(world_, network_, settings_.internalAddress(PortOffset::core));
         node_ = std::make_unique<ControlNode>(*scheduler_, *transport_, cloud_, *disk_, settings_,
                                               world_.random()());
         node_->start();
@@ -310,7 +310,8 @@
     }
     std::vector<NodeAddress> coreAddresses() const {
         std::vector<NodeAddress> addresses;
-        for (const auto& machine : core) addresses.push_back(machine->settings().internal(PortOffset::core));
+        for (const auto& machine : core)
+            addresses.push_back(machine->settings().internalAddress(PortOffset::core));
         return addresses;
     }
     CoreMachine* leader() {
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -79,18 +79,18 @@
 
 TEST_CASE("the own zone is nearer than its region, and that one nearer than another region") {
     const Topology topology = twoRegions();
-    CHECK(topology.between("east-a", "east-a") == Distance::same_zone);
-    CHECK(topology.between("east-a", "east-b") == Distance::same_region);
-    CHECK(topology.between("east-a", "west-a") == Distance::other_region);
+    CHECK(topology.distanceBetween("east-a", "east-a") == Distance::same_zone);
+    CHECK(topology.distanceBetween("east-a", "east-b") == Distance::same_region);
+    CHECK(topology.distanceBetween("east-a", "west-a") == Distance::other_region);
     CHECK(Distance::same_zone < Distance::same_region);
     CHECK(Distance::same_region < Distance::other_region);
 }
 
 TEST_CASE("zones without a region count as one region") {
     const Topology none;
-    CHECK(none.between("a", "a") == Distance::same_zone);
-    CHECK(none.between("a", "b") == Distance::same_region);
-    CHECK(twoRegions().between("east-a", "nowhere") == Distance::other_region);
+    CHECK(none.distanceBetween("a", "a") == Distance::same_zone);
+    CHECK(none.distanceBetween("a", "b") == Distance::same_region);
+    CHECK(twoRegions().distanceBetween("east-a", "nowhere") == Distance::other_region);
 }
 
 TEST_CASE("an edge asks one of the nearest owners, and farther ones only where no nearer one is left") {
@@ -105,7 +105,7 @@
         while (const auto partition = partitions.pick(drawn.random, tried)) {
             const StoreMember* const owner = partitions.owner(*partition);
             REQUIRE(owner != nullptr);
-            const Distance distance = drawn.topology.between(zone, owner->member.zone);
+            const Distance distance = drawn.topology.distanceBetween(zone, owner->member.zone);
             CHECK(distance >= last);
             last = distance;
             tried.insert(owner->member.address);
@@ -129,7 +129,8 @@
             CHECK(order.size() == placement.otherKeepers());
             Distance last = Distance::same_zone;
             for (const std::string& name : order) {
-                const Distance distance = drawn.topology.between(self.zone, drawn.store(name).member.zone);
+                const Distance distance =
+                    drawn.topology.distanceBetween(self.zone, drawn.store(name).member.zone);
                 CHECK(distance >= last);
                 last = distance;
             }
@@ -208,7 +209,7 @@
     Edges edges = manyEdges("east-a", 1);
     const std::set<std::string> senders = sendersOf(edges, "10.9.0.1:80", kSenders);
     const auto distanceOf = [&](const std::string& name) {
-        return twoRegions().between("east-a", edges.find(name)->zone);
+        return twoRegions().distanceBetween("east-a", edges.find(name)->zone);
     };
     Distance least = Distance::other_region;
     for (const std::string& name : senders) least = std::min(least, distanceOf(name));
@@ -234,12 +235,12 @@
 
 TEST_CASE("at most half of a receiver's connections are planned with where edges are many") {
     CHECK(planCallbacks(8).all_send);
-    CHECK(planCallbacks(8).connections_each == 8);
-    CHECK(planCallbacks(20).connections_each == 3);
+    CHECK(planCallbacks(8).connections_per_sender == 8);
+    CHECK(planCallbacks(20).connections_per_sender == 3);
     for (std::uint32_t edges = 33; edges <= 1000; ++edges) {
         const CallbackPlan plan = planCallbacks(edges);
         CHECK_FALSE(plan.all_send);
-        CHECK(plan.senders * plan.connections_each <= 32);
+        CHECK(plan.senders * plan.connections_per_sender <= 32);
     }
 }
 
@@ -248,8 +249,8 @@
     const NodeAddress near{"10.0.0.1", 7782};
     const NodeAddress far{"10.0.0.2", 7782};
     CHECK_FALSE(locations.distanceTo(near).has_value());
-    locations.learn(near, "east-a");
-    locations.learn(far, "west-a");
+    locations.setZone(near, "east-a");
+    locations.setZone(far, "west-a");
     TrafficMeter meter;
     const auto kind = static_cast<std::uint16_t>(MessageKind::accept_message);
     meter.count(kind, locations.distanceTo(near), 100);
@@ -269,8 +270,8 @@
         CAPTURE(seed);
         DrawnDeployment drawn(seed);
         const Member self = drawn.view.stores[0].member;
-        const Tolerance tolerance{2, static_cast<std::uint32_t>(drawn.draw(0, 2)),
-                                  static_cast<std::uint32_t>(drawn.draw(0, 1))};
+        const FaultTolerance tolerance{2, static_cast<std::uint32_t>(drawn.draw(0, 2)),
+                                       static_cast<std::uint32_t>(drawn.draw(0, 1))};
         drawn.view.tolerated = 2;
         Placement placement(self.name, self.zone, drawn.topology, tolerance);
         placement.update(drawn.shared());
@@ -295,17 +296,17 @@
 
 TEST_CASE("a loss of one zone is borne where the settings ask for it, and not otherwise") {
     const Topology topology = twoRegions();
-    const SpreadRule zones(Tolerance{1, 1, 0}, topology);
+    const SpreadRule zones(FaultTolerance{1, 1, 0}, topology);
     CHECK_FALSE(zones.isSpread({"east-a"}));
     CHECK(zones.isSpread({"east-a", "east-b"}));
     CHECK(zones.mayBeLost({"east-a"}));
     CHECK_FALSE(zones.mayBeLost({"east-a", "east-b"}));
     CHECK_FALSE(zones.mayBeLost({}));
-    const SpreadRule regions(Tolerance{1, 0, 1}, topology);
+    const SpreadRule regions(FaultTolerance{1, 0, 1}, topology);
     CHECK_FALSE(regions.isSpread({"east-a", "east-b"}));
     CHECK(regions.isSpread({"east-a", "west-a"}));
     CHECK(regions.mayBeLost({"east-a", "east-b"}));
-    const SpreadRule machines(Tolerance{2, 0, 0}, topology);
+    const SpreadRule machines(FaultTolerance{2, 0, 0}, topology);
     CHECK(machines.isTrivial());
     CHECK(machines.isSpread({"east-a"}));
     CHECK_FALSE(machines.mayBeLost({"east-a"}));
--- a/tests/cluster/edge_accept_test.cpp
+++ b/tests/cluster/edge_accept_test.cpp
@@ -238,7 +238,7 @@
         const bool accept = request.kind == static_cast<std::uint16_t>(MessageKind::accept_message);
         if (!accept || breaks == 0) return below_.call(to, std::move(request), timeout, std::move(done));
         --breaks;
-        world_.at(world_.now() + Millis(2), [done] { done({Verdict::unknown, {}}); });
+        world_.at(world_.now() + Millis(2), [done] { done({CallStatus::unknown, {}}); });
     }
 
 private:
--- a/tests/cluster/edge_callback_test.cpp
+++ b/tests/cluster/edge_callback_test.cpp
@@ -46,7 +46,7 @@
     REQUIRE(results.size() == 2);
     CHECK(results[0].outcome == RunOutcome::completed);
     CHECK(results[0].callback_started);
-    CHECK(results[1].outcome == RunOutcome::callback_taken);
+    CHECK(results[1].outcome == RunOutcome::callback_delivered);
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
 }
 
@@ -59,7 +59,7 @@
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 2);
     CHECK(world.http.sent[1].call.request.body == R"({"uid":"id-1","phase":"dead_letter"})");
-    CHECK(world.stores[0]->results.back().outcome == RunOutcome::callback_taken);
+    CHECK(world.stores[0]->results.back().outcome == RunOutcome::callback_delivered);
     status = 500;
     world.push(0, {withCallback(world, "id-2")});
     world.world.run(Millis(300));
@@ -82,7 +82,7 @@
     world.world.run(Millis(300));
     REQUIRE(world.stores[0]->results.size() == 2);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::completed);
-    CHECK(world.stores[0]->results[1].outcome == RunOutcome::callback_taken);
+    CHECK(world.stores[0]->results[1].outcome == RunOutcome::callback_delivered);
     CHECK(world.http.sentTo(kReceiver) == 1);
 }
 
@@ -95,7 +95,7 @@
     REQUIRE(world.http.sent.size() == 1);
     CHECK(world.http.sent[0].call.to == kReceiver);
     REQUIRE(world.stores[0]->results.size() == 1);
-    CHECK(world.stores[0]->results[0].outcome == RunOutcome::callback_taken);
+    CHECK(world.stores[0]->results[0].outcome == RunOutcome::callback_delivered);
 }
 
 TEST_CASE("a receiver that fails is asked again with growing pauses, then the owner decides") {
@@ -305,7 +305,7 @@
         world.world.run(Millis(50));
     }
     REQUIRE(world.stores[1]->results.size() == 2);
-    CHECK(world.stores[1]->results[1].outcome == RunOutcome::callback_taken);
+    CHECK(world.stores[1]->results[1].outcome == RunOutcome::callback_delivered);
     CHECK(world.http.sentTo(kReceiver) == 1);
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
 }
--- a/tests/cluster/edge_store_world.hpp
+++ b/tests/cluster/edge_store_world.hpp
@@ -161,8 +161,8 @@
     settings.first_port = 7780;
     EdgeProcess& process = edges[index];
     process.scheduler = std::make_unique<SimulatedScheduler>(world());
-    process.transport =
-        std::make_unique<MemoryTransport>(world(), stores.network, settings.internal(PortOffset::edge));
+    process.transport = std::make_unique<MemoryTransport>(world(), stores.network,
+                                                          settings.internalAddress(PortOffset::edge));
     process.http = std::make_unique<ProcessHttp>(*this);
     process.node = std::make_unique<EdgeNode>(*process.scheduler, *process.transport, *process.http, settings,
                                               ++last_incarnation_);
@@ -278,7 +278,7 @@
     if (message.status == 503) play_.faults.push_back("refused: " + id + " runs");
     if (message.route == "limited") play_.limited_arrivals.push_back(world.now());
     HttpOutcome outcome;
-    outcome.verdict = Verdict::answered;
+    outcome.verdict = CallStatus::answered;
     if (world.chance() < play_.servers.full) {
         outcome.response.status = 503;
         outcome.response.headers = {{"Not-Executed", "1"}};
@@ -344,7 +344,7 @@
 inline HttpOutcome ProcessHttp::callBack(const HttpCall& call) {
     HttpOutcome outcome;
     if (play_.servers.receiver_down) {
-        outcome.verdict = Verdict::not_executed;
+        outcome.verdict = CallStatus::not_executed;
         outcome.unreachable = true;
         return outcome;
     }
@@ -363,7 +363,7 @@
     } else if (!message.ended) {
         play_.faults.push_back("mixed: a call-back says dead_letter before the end");
     }
-    outcome.verdict = Verdict::answered;
+    outcome.verdict = CallStatus::answered;
     return outcome;
 }
 
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -21,7 +21,7 @@
 
 inline HttpOutcome answer(int status, HttpHeaders headers = {}, std::string body = "") {
     HttpOutcome outcome;
-    outcome.verdict = Verdict::answered;
+    outcome.verdict = CallStatus::answered;
     outcome.response.status = status;
     outcome.response.headers = std::move(headers);
     outcome.response.body = std::move(body);
@@ -35,7 +35,7 @@
 }
 inline HttpOutcome unreachable() {
     HttpOutcome outcome;
-    outcome.verdict = Verdict::not_executed;
+    outcome.verdict = CallStatus::not_executed;
     outcome.unreachable = true;
     return outcome;
 }
@@ -135,7 +135,7 @@
         transport_->call(edge, envelope(MessageKind::grant_push, grants), Millis(500),
                          [&](const CallResult& result) {
                              if (const auto answered = decode<GrantPushReply>(result.reply.body))
-                                 taken = answered->taken;
+                                 taken = answered->accepted;
                          });
         world.run(Millis(20));
         return taken;
@@ -171,7 +171,7 @@
         RunReportReply answered;
         for (const RunResult& result : told.results) {
             (takes_reports ? results : refused).push_back(result);
-            answered.taken.push_back(takes_reports);
+            answered.accepted.push_back(takes_reports);
         }
         respond(reply(answered));
     }
@@ -253,7 +253,7 @@
             stores.push_back(std::make_unique<FakeStore>(world, network, address));
         }
         const NodeSettings settings = edgeSettings();
-        edge_address = settings.internal(PortOffset::edge);
+        edge_address = settings.internalAddress(PortOffset::edge);
         transport = std::make_unique<MemoryTransport>(world, network, edge_address);
         edge = std::make_unique<EdgeNode>(scheduler, *transport, http, settings, Incarnation{7});
         edge->start();
