--- a/tests/cluster/http_client_test.cpp
+++ b/tests/cluster/http_client_test.cpp
@@ -35,7 +35,7 @@
     CHECK(outcome.times == 0);
     play.at(0).send("ope");
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.status == 422);
     CHECK(outcome.result.response.body == "nope");
     CHECK(headerValue(outcome.result.response.headers, "response-stamp") == "s.1");
@@ -69,7 +69,7 @@
     play.client.send(call, outcome.hear());
     CHECK(outcome.times == 0);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::not_executed);
+    CHECK(outcome.result.verdict == CallStatus::not_executed);
     CHECK(outcome.result.unreachable);
     CHECK(play.client.connectionsTo(call.to) == 0);
     CHECK(outcome.times == 1);
@@ -83,7 +83,7 @@
     play.client.send(call, outcome.hear());
     CHECK(outcome.times == 0);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::not_executed);
+    CHECK(outcome.result.verdict == CallStatus::not_executed);
     CHECK(outcome.result.unreachable);
     CHECK(play.client.connectionsTo(call.to) == 0);
 }
@@ -111,7 +111,7 @@
         REQUIRE(play.ended(outcome));
         CHECK(play.loop.now() - start < Millis(290));
     }
-    CHECK(outcome.result.verdict == Verdict::not_executed);
+    CHECK(outcome.result.verdict == CallStatus::not_executed);
     CHECK(outcome.result.unreachable);
     CHECK(play.client.connectionsTo(call.to) == 0);
 }
@@ -129,7 +129,7 @@
     play.client.send(call, outcome.hear());
     REQUIRE(play.ended(outcome));
     CHECK(play.loop.now() - start >= Millis(60));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(outcome.result.timed_out);
     CHECK_FALSE(outcome.result.unreachable);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
@@ -169,7 +169,7 @@
     REQUIRE(runUntil(play.loop, [&] { return play.at(0).sentAll(); }));
     play.at(0).close();
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK_FALSE(outcome.result.timed_out);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
 }
@@ -183,7 +183,7 @@
     REQUIRE(runUntil(play.loop, [&] { return play.at(0).sentAll(); }));
     play.at(0).reset();
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
 }
 
 TEST_CASE("what is not an answer is unknown") {
@@ -209,7 +209,7 @@
         play.at(0).send("HTTP/1.1 103 Early Hints\r\n\r\n");
     }
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
 }
 
@@ -241,7 +241,7 @@
         play.at(0).send("HTTP/1.1 100 Continue\r\n\r\n" + answer("ok"));
     }
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.status == status);
     CHECK(outcome.result.response.body == body);
     CHECK(play.client.connectionsTo(play.server.address) == 1);
@@ -265,7 +265,7 @@
     REQUIRE(runUntil(play.loop, [&] { return play.at(0).sentAll(); }));
     play.at(0).close();
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.body == "ok");
     play.exchange(1, 1);
 }
@@ -279,7 +279,7 @@
     REQUIRE(play.requested(0, 1));
     play.at(0).send(answer("other's", "Request-Id: other\r\n"));
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
     REQUIRE(runUntil(play.loop, [&] { return play.at(0).closed; }));
 }
@@ -306,7 +306,7 @@
     play.client.send(call, outcome.hear());
     CHECK(outcome.times == 0);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::not_executed);
+    CHECK(outcome.result.verdict == CallStatus::not_executed);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
     CHECK(play.server.connections.empty());
 }
--- a/tests/cluster/http_once_test.cpp
+++ b/tests/cluster/http_once_test.cpp
@@ -101,13 +101,13 @@
         REQUIRE(runUntil(play.loop, [&] { return play.at(0).sentAll(); }));
         play.at(0).close();
         REQUIRE(play.ended(outcome));
-        CHECK(outcome.result.verdict == Verdict::unknown);
+        CHECK(outcome.result.verdict == CallStatus::unknown);
         CHECK(play.client.connectionsTo(play.server.address) == 0);
         return;
     }
     REQUIRE(play.ended(outcome));
     CHECK(outcome.times == 1);
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(outcome.result.timed_out);
     CHECK_FALSE(outcome.result.unreachable);
     checkClosed(play, 0);
@@ -178,7 +178,7 @@
     }
     REQUIRE(play.ended(outcome));
     CHECK(outcome.times == 1);
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.body == "done");
     CHECK(headerValue(outcome.result.response.headers, "Response-Stamp") == "s.1");
     CHECK(requestsReceived(play) == 1);
@@ -199,7 +199,7 @@
         play.at(0).reset();
     }
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
 }
 
@@ -224,7 +224,7 @@
     REQUIRE(play.requested(0, 1));
     play.at(0).send("HTTP/1.1 103 Early Hints\r\n" + kOwnId + "\r\n" + kToOwnCall);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.body == "done");
 }
 
@@ -234,7 +234,7 @@
     sendOnUsedConnection(play, outcome);
     for (int i = 0; i < 100; ++i) play.at(0).send(kToEarlierCall);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK_FALSE(outcome.result.timed_out);
     CHECK(play.client.counters().too_many_others == 1);
     checkClosed(play, 0);
@@ -249,7 +249,7 @@
         REQUIRE(play.requested(0, 2));
         play.at(0).send(answer("old") + answer("done"));
         REQUIRE(play.ended(outcome));
-        CHECK(outcome.result.verdict == Verdict::unknown);
+        CHECK(outcome.result.verdict == CallStatus::unknown);
         CHECK(play.client.counters().answers_ambiguous == 1);
     }
     SUBCASE("but the first one of a new connection") {
@@ -257,7 +257,7 @@
         REQUIRE(play.requested(0, 1));
         play.at(0).send(answer("done") + answer("again"));
         REQUIRE(play.ended(outcome));
-        CHECK(outcome.result.verdict == Verdict::answered);
+        CHECK(outcome.result.verdict == CallStatus::answered);
         CHECK(outcome.result.response.body == "done");
     }
     checkClosed(play, 0);
@@ -269,7 +269,7 @@
     sendOnUsedConnection(play, outcome);
     play.at(0).send(kToOwnCall + kToOwnCall);
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.response.body == "done");
     checkClosed(play, 0);
 }
@@ -356,7 +356,7 @@
             REQUIRE(runUntil(play.loop, [&] { return play.at(0).sentAll(); }));
             breakOff(play.at(0), fault.end);
             REQUIRE(play.ended(outcome));
-            CHECK(outcome.result.verdict == Verdict::unknown);
+            CHECK(outcome.result.verdict == CallStatus::unknown);
             letTimePass(play);
             CHECK(outcome.times == 1);
             CHECK(requestsReceived(play) <= 1);
@@ -378,7 +378,7 @@
             play.at(0).stopReading();
             breakOff(play.at(0), end);
             REQUIRE(play.ended(outcome));
-            CHECK(outcome.result.verdict == Verdict::unknown);
+            CHECK(outcome.result.verdict == CallStatus::unknown);
             letTimePass(play);
             CHECK(outcome.times == 1);
             CHECK(play.server.connections.size() == 1);
@@ -394,21 +394,21 @@
     play.client.send(call, outcome.hear());
     REQUIRE(
         runUntil(play.loop, [&] { return !play.server.connections.empty() && requestsReceived(play) == 1; }));
-    Verdict expected = Verdict::answered;
+    CallStatus expected = CallStatus::answered;
     SUBCASE("its own") {
         play.at(0).send(answer("early", kOwnId));
     }
     SUBCASE("another's") {
         play.at(0).send(answer("early", "Request-Id: other\r\n"));
-        expected = Verdict::unknown;
+        expected = CallStatus::unknown;
     }
     SUBCASE("nobody's") {
         play.at(0).send(answer("early"));
-        expected = Verdict::unknown;
+        expected = CallStatus::unknown;
     }
     REQUIRE(play.ended(outcome));
     CHECK(outcome.result.verdict == expected);
-    CHECK(outcome.result.timed_out == (expected == Verdict::unknown));
+    CHECK(outcome.result.timed_out == (expected == CallStatus::unknown));
     letTimePass(play);
     CHECK(outcome.times == 1);
     CHECK(requestsReceived(play) == 1);
@@ -429,7 +429,7 @@
         play.at(0).send(answer("stray"));
     }
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     checkClosed(play, 0);
 }
 
--- a/tests/cluster/http_play.hpp
+++ b/tests/cluster/http_play.hpp
@@ -64,7 +64,7 @@
         REQUIRE(requested(connection, requests));
         at(connection).send(answer("ok", headers));
         REQUIRE(ended(outcome));
-        REQUIRE(outcome.result.verdict == Verdict::answered);
+        REQUIRE(outcome.result.verdict == CallStatus::answered);
     }
 };
 
--- a/tests/cluster/http_pool_test.cpp
+++ b/tests/cluster/http_pool_test.cpp
@@ -48,7 +48,7 @@
     play.client.send(call, second.hear());
     CHECK(second.times == 0);
     REQUIRE(play.ended(second));
-    CHECK(second.result.verdict == Verdict::not_executed);
+    CHECK(second.result.verdict == CallStatus::not_executed);
     CHECK_FALSE(second.result.unreachable);
     REQUIRE(play.requested(0, 1));
     play.at(0).send(answer("1"));
@@ -81,7 +81,7 @@
     play.client.send(play.get(), outcome.hear());
     play.at(0).close();
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK_FALSE(outcome.result.unreachable);
     CHECK(play.server.connections.size() == 1);  // nothing was sent again
 }
@@ -118,7 +118,7 @@
     // On the first connection where the stray answer came only just then; it is dropped there.
     play.at(arrivedOn(0, 2) ? 0 : 1).send(answer("b", "Request-Id: b\r\n"));
     REQUIRE(play.ended(second));
-    CHECK(second.result.verdict == Verdict::answered);
+    CHECK(second.result.verdict == CallStatus::answered);
     CHECK(second.result.response.body == "b");
 }
 
@@ -155,7 +155,7 @@
     CHECK(play.client.connectionsTo(play.server.address) == 1);
     play.at(1).send(answer("2"));
     REQUIRE(play.ended(busy));
-    CHECK(busy.result.verdict == Verdict::answered);
+    CHECK(busy.result.verdict == CallStatus::answered);
     CHECK(play.client.connectionsTo(play.server.address) == 0);
     REQUIRE(runUntil(play.loop, [&] { return play.at(0).closed && play.at(1).closed; }));
     play.exchange(2, 1);
@@ -170,7 +170,7 @@
         CHECK(first.unreachable);
         play.client.send(refused, [&](const HttpOutcome&) {
             play.client.send(play.get(), [&](const HttpOutcome& third) {
-                CHECK(third.verdict == Verdict::answered);
+                CHECK(third.verdict == CallStatus::answered);
                 play.client.send(play.get("/last"), last.hear());
             });
         });
--- a/tests/cluster/http_test.cpp
+++ b/tests/cluster/http_test.cpp
@@ -215,7 +215,7 @@
         call.timeout = Millis(5000);
         call.max_connections = kCalls;
         client.send(std::move(call), [&, id](const HttpOutcome& outcome) {
-            CHECK(outcome.verdict == Verdict::answered);
+            CHECK(outcome.verdict == CallStatus::answered);
             CHECK(outcome.response.body == "re " + id);
             ++answered;
         });
--- a/tests/cluster/invariants_hold.cpp
+++ b/tests/cluster/invariants_hold.cpp
@@ -1,5 +1,5 @@
-// Linked into every test of the service: a test during which an invariant of the running code was violated
-// fails, whatever its own checks say.
+// Linked into every test of the service. Makes a test program fail if an invariant (invariant.hpp) was
+// violated while it ran, even if its own checks pass.
 #include <cstdlib>
 #include <iostream>
 
@@ -8,18 +8,18 @@
 namespace amberswitch::cluster::testing {
 namespace {
 
-constexpr int kViolated = 3;  // exit status
+constexpr int kViolationExitStatus = 3;
 
-class ChecksAtExit {
+class InvariantExitCheck {
 public:
-    ~ChecksAtExit() {
-        if (invariantViolations() == 0) return;
-        std::cerr << "invariants were violated:\n" << invariantsText() << std::flush;
-        std::_Exit(kViolated);
+    ~InvariantExitCheck() {
+        if (totalInvariantViolations() == 0) return;
+        std::cerr << "invariants were violated:\n" << invariantMetricsText() << std::flush;
+        std::_Exit(kViolationExitStatus);
     }
 };
 
-const ChecksAtExit checks_at_exit;
+const InvariantExitCheck invariant_exit_check;
 
 }  // namespace
 }  // namespace amberswitch::cluster::testing
--- a/tests/cluster/large_configuration.hpp
+++ b/tests/cluster/large_configuration.hpp
@@ -1,4 +1,4 @@
-// Configurations of any size, with the fields that operators send.
+// Generates configurations of any size, with the fields that operators send.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
            std::to_string(index / 250) + "." + std::to_string(index % 250) + R"(:8066"})";
 }
 
-// One route to each service; the time-out of the first route differs by version.
+// One route per service; the time-out of the first route depends on the generation.
 inline std::string largeConfiguration(std::int64_t generation, std::size_t services) {
     std::string routes;
     std::string listed;
--- a/tests/cluster/metrics_test.cpp
+++ b/tests/cluster/metrics_test.cpp
@@ -27,13 +27,13 @@
 
 TEST_CASE("a violated invariant is counted and told") {
     CHECK(checkInvariant(Invariant::grants_are_open, true, "holds"));
-    CHECK(invariantViolations() == 0);
+    CHECK(totalInvariantViolations() == 0);
     CHECK_FALSE(checkInvariant(Invariant::grants_are_open, false, "planted by a test"));
     CHECK(violationsOf(Invariant::grants_are_open) == 1);
     CHECK(violationsOf(Invariant::own_answer_is_taken) == 0);
-    CHECK(invariantsText().find("invariant_violations_grants_are_open 1\n") != std::string::npos);
-    forgetInvariantViolations();
-    CHECK(invariantViolations() == 0);
+    CHECK(invariantMetricsText().find("invariant_violations_grants_are_open 1\n") != std::string::npos);
+    resetInvariantViolations();
+    CHECK(totalInvariantViolations() == 0);
 }
 
 TEST_CASE("a metrics server answers with the figures of the moment") {
@@ -49,7 +49,7 @@
         call.request = {"GET", "/metrics", {{"Host", "h"}}, ""};
         client.send(call, outcome.hear());
         REQUIRE(runUntil(loop, [&] { return outcome.times > 0; }));
-        REQUIRE(outcome.result.verdict == Verdict::answered);
+        REQUIRE(outcome.result.verdict == CallStatus::answered);
         CHECK(outcome.result.response.status == 200);
         CHECK(outcome.result.response.body == expected);
     }
@@ -69,7 +69,7 @@
     REQUIRE(play.requested(0, 1));
     play.at(0).send(answer("done", "Request-Id: mine\r\nContent-Length: 4\r\n"));  // two lengths
     REQUIRE(play.ended(outcome));
-    CHECK(outcome.result.verdict == Verdict::unknown);
+    CHECK(outcome.result.verdict == CallStatus::unknown);
     CHECK(play.client.counters().answers_without_end == 1);
     CHECK(play.client.counters().text().find("http_client_answers_without_end 1\n") != std::string::npos);
 }
--- a/tests/cluster/register_values_test.cpp
+++ b/tests/cluster/register_values_test.cpp
@@ -72,7 +72,7 @@
     REQUIRE(read.has_value());
     CHECK(read->generation == state.generation);
     CHECK((read->body == state.body));
-    CHECK(read->taken == state.taken);
+    CHECK(read->accepted_changes == state.accepted_changes);
 }
 
 TEST_CASE("a configuration that an older program wrote uncompressed is read") {
@@ -84,13 +84,13 @@
         const std::optional<ConfigurationState> read = readConfigurationState(value);
         REQUIRE(read.has_value());
         CHECK((read->body == state.body));
-        CHECK(read->taken == state.taken);
+        CHECK(read->accepted_changes == state.accepted_changes);
     }
 }
 
 TEST_CASE("a compressed body that is damaged is not readable, and no empty configuration") {
     const std::string body = largeState().body;
-    const std::string whole = compressed(body);
+    const std::string whole = compress(body);
     const auto isRead = [](const std::string& kept) {
         const std::string value = encode(ConfigurationState{3, kept, {}});
         const bool read = readConfigurationState(value).has_value();
@@ -111,7 +111,7 @@
 
 TEST_CASE("a body that expands without bound is not readable") {
     constexpr std::size_t kFarTooManyBytes = 65 * 1024 * 1024;
-    const std::string bomb = compressed("{" + std::string(kFarTooManyBytes, ' '));
+    const std::string bomb = compress("{" + std::string(kFarTooManyBytes, ' '));
     REQUIRE(bomb.size() < kMaxConfigurationValueBytes);
     CHECK_FALSE(readConfigurationState(encode(ConfigurationState{3, bomb, {}})).has_value());
 }
@@ -146,7 +146,7 @@
     REQUIRE(play.replace(*play.core[0], 0, first) == kTaken);
     const std::string body = randomConfiguration(2, 30'000);
     REQUIRE(body.size() < kMaxOperatorBodyBytes);
-    REQUIRE(compressed(body).size() > kMaxConfigurationValueBytes);
+    REQUIRE(compress(body).size() > kMaxConfigurationValueBytes);
     CHECK(play.replace(*play.core[1], 1, body) == kTooLarge);
     CHECK(play.read(*play.core[2]).body == first);
     CHECK(play.replace(*play.core[0], 1, largeConfiguration(2, 1'000)) == kTaken);
--- a/tests/cluster/settings_test.cpp
+++ b/tests/cluster/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings files: the example of DEPLOY.md, what may be missing, and each field that can be wrong.
+// Settings files: the example of DEPLOY.md, optional fields, and the error for each invalid field.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "cluster/common/settings.hpp"
 
@@ -66,14 +66,14 @@
   maxLagMs: 800
 )";
 
-constexpr const char* kLeast = R"(nodeName: n
+constexpr const char* kMinimalSettings = R"(nodeName: n
 ip: 10.1.0.40
 zone: z
 portRange: [7780, 7795]
 seeds: []
 )";
 
-// A file that is gone at the end of the test.
+// A temporary file, removed by the destructor.
 class TemporaryFile {
 public:
     explicit TemporaryFile(const std::string& content) {
@@ -98,8 +98,8 @@
     return loadNodeSettings(file.path());
 }
 
-// What SettingsError says after "FILE: "; empty if nothing is wrong.
-std::string faultOf(const std::string& content) {
+// The text of the SettingsError after "FILE: "; empty if the settings are valid.
+std::string errorOf(const std::string& content) {
     const TemporaryFile file(content);
     try {
         loadNodeSettings(file.path());
@@ -112,10 +112,10 @@
     return "";
 }
 
-// The least settings with one line put in the place of another one (its whole "key: value"), or added to
-// them.
-std::string leastWith(const std::string& line, const std::string& replaced = "") {
-    std::string content = kLeast;
+// The minimal settings with `line` added. If `replaced` (a complete "key: value" line) is not empty, that
+// line is removed.
+std::string minimalSettingsWith(const std::string& line, const std::string& replaced = "") {
+    std::string content = kMinimalSettings;
     if (!replaced.empty()) {
         const std::size_t at = content.find(replaced + "\n");
         REQUIRE(at != std::string::npos);
@@ -140,7 +140,7 @@
     CHECK_FALSE(settings.control.has_value());
     CHECK(settings.first_port == 7780);
     CHECK(settings.last_port == 7795);
-    CHECK(settings.internal(PortOffset::store) == NodeAddress{"10.1.0.40", 7782});
+    CHECK(settings.internalAddress(PortOffset::store) == NodeAddress{"10.1.0.40", 7782});
     CHECK(settings.seeds == std::vector<NodeAddress>{{"10.1.0.44", 8064}, {"10.2.0.43", 8064}});
     CHECK(settings.bootstrap);
     CHECK_FALSE(settings.counts_for_quorum);
@@ -156,7 +156,7 @@
     CHECK(settings.bounds.drain == Millis(3500));
     CHECK(settings.bounds.grace == Millis(7000));
     CHECK(settings.bounds.config_apply == Millis(2900));
-    CHECK(settings.bounds.status_kept == Millis(121000));
+    CHECK(settings.bounds.status_retention == Millis(121000));
     CHECK(settings.bounds.callback == Millis(5500));
     CHECK(settings.bounds.early == Millis(110));
     CHECK(settings.bounds.ceiling_window == Millis(4000));
@@ -167,8 +167,8 @@
     CHECK(settings.cloud->max_lag == Millis(800));
 }
 
-TEST_CASE("what is optional may be missing") {
-    const NodeSettings settings = load(kLeast);
+TEST_CASE("optional fields may be missing") {
+    const NodeSettings settings = load(kMinimalSettings);
     const NodeBounds defaults;
     CHECK(settings.region.empty());
     CHECK(settings.serves.empty());
@@ -179,7 +179,7 @@
     CHECK(settings.data_dir.empty());
     CHECK(settings.tolerance.machines == 0);
     CHECK(settings.bounds.drain == defaults.drain);
-    CHECK(settings.bounds.status_kept == defaults.status_kept);
+    CHECK(settings.bounds.status_retention == defaults.status_retention);
     CHECK(settings.bounds.ceiling_overshoot == defaults.ceiling_overshoot);
     CHECK_FALSE(settings.cloud.has_value());
 }
@@ -194,16 +194,16 @@
     CHECK_FALSE(settings.bootstrap);
 }
 
-TEST_CASE("fields that are not known are ignored, whatever they hold") {
-    CHECK(faultOf(leastWith(
+TEST_CASE("unknown fields are ignored, whatever their values") {
+    CHECK(errorOf(minimalSettingsWith(
               "later: {deep: [1, {x: y}]}\nother: !tag 3\nbounds: {newS: true, drainMs: 3000}")) == "");
 }
 
-TEST_CASE("whole numbers and fractions are both taken") {
-    const NodeSettings settings =
-        load(leastWith("limits: {memoryMb: 260.0, cpuShare: 1}\nbounds: {graceS: 4.25, drainMs: 3000.0, "
-                       "ceilingOvershoot: 2}\n"
-                       "faultTolerance: {machines: 1.0}"));
+TEST_CASE("numbers may be written with or without a fraction") {
+    const NodeSettings settings = load(
+        minimalSettingsWith("limits: {memoryMb: 260.0, cpuShare: 1}\nbounds: {graceS: 4.25, drainMs: 3000.0, "
+                            "ceilingOvershoot: 2}\n"
+                            "faultTolerance: {machines: 1.0}"));
     CHECK(settings.limits.memory_mb == 260);
     CHECK(settings.limits.cpu_share == 1);
     CHECK(settings.bounds.grace == Millis(4250));
@@ -212,86 +212,94 @@
     CHECK(settings.tolerance.machines == 1);
 }
 
-TEST_CASE("a file that is no settings file is named") {
+TEST_CASE("the error names a file that is not a settings file") {
     CHECK_THROWS_WITH_AS(loadNodeSettings("/tmp/there/is/none.yaml"),
                          "/tmp/there/is/none.yaml: file: cannot be read", SettingsError);
     CHECK_THROWS_WITH_AS(loadNodeSettings("/tmp"), "/tmp: file: cannot be read", SettingsError);
-    CHECK(faultOf("") == "file: must hold a map of fields");
-    CHECK(faultOf("just text") == "file: must hold a map of fields");
-    CHECK(faultOf("- a\n- b\n") == "file: must hold a map of fields");
-    CHECK(faultOf("nodeName: [n\nip: x\n").starts_with("line "));
+    CHECK(errorOf("") == "file: must hold a map of fields");
+    CHECK(errorOf("just text") == "file: must hold a map of fields");
+    CHECK(errorOf("- a\n- b\n") == "file: must hold a map of fields");
+    CHECK(errorOf("nodeName: [n\nip: x\n").starts_with("line "));
 }
 
-TEST_CASE("each required field is missed by name") {
-    CHECK(faultOf(leastWith("", "nodeName: n")) == "nodeName: is missing");
-    CHECK(faultOf(leastWith("", "ip: 10.1.0.40")) == "ip: is missing");
-    CHECK(faultOf(leastWith("", "zone: z")) == "zone: is missing");
-    CHECK(faultOf(leastWith("", "portRange: [7780, 7795]")) == "portRange: is missing");
-    CHECK(faultOf(leastWith("", "seeds: []")) == "seeds: is missing");
-    CHECK(faultOf(leastWith("nodeName: ''", "nodeName: n")) == "nodeName: must not be empty");
-    CHECK(faultOf(leastWith("zone:", "zone: z")) == "zone: is missing");
+TEST_CASE("the error names each missing required field") {
+    CHECK(errorOf(minimalSettingsWith("", "nodeName: n")) == "nodeName: is missing");
+    CHECK(errorOf(minimalSettingsWith("", "ip: 10.1.0.40")) == "ip: is missing");
+    CHECK(errorOf(minimalSettingsWith("", "zone: z")) == "zone: is missing");
+    CHECK(errorOf(minimalSettingsWith("", "portRange: [7780, 7795]")) == "portRange: is missing");
+    CHECK(errorOf(minimalSettingsWith("", "seeds: []")) == "seeds: is missing");
+    CHECK(errorOf(minimalSettingsWith("nodeName: ''", "nodeName: n")) == "nodeName: must not be empty");
+    CHECK(errorOf(minimalSettingsWith("zone:", "zone: z")) == "zone: is missing");
 }
 
-TEST_CASE("addresses that are none are named") {
-    CHECK(faultOf(leastWith("ip: localhost", "ip: 10.1.0.40")) ==
+TEST_CASE("the error names each invalid address") {
+    CHECK(errorOf(minimalSettingsWith("ip: localhost", "ip: 10.1.0.40")) ==
           "ip: must be an IPv4 address, not 'localhost'");
-    CHECK(faultOf(leastWith("ip: [10.1.0.40]", "ip: 10.1.0.40")) == "ip: must be a single value");
-    CHECK(faultOf(leastWith("bindAddrs: {front: 10.1.0.40}")) ==
+    CHECK(errorOf(minimalSettingsWith("ip: [10.1.0.40]", "ip: 10.1.0.40")) == "ip: must be a single value");
+    CHECK(errorOf(minimalSettingsWith("bindAddrs: {front: 10.1.0.40}")) ==
           "bindAddrs.front: must be IPV4:PORT, not '10.1.0.40'");
-    CHECK(faultOf(leastWith("bindAddrs: {control: '10.1.0.40:0'}")) ==
+    CHECK(errorOf(minimalSettingsWith("bindAddrs: {control: '10.1.0.40:0'}")) ==
           "bindAddrs.control: must be IPV4:PORT, not '10.1.0.40:0'");
-    CHECK(faultOf(leastWith("bindAddrs: {readiness: '10.1.0.40:70000'}")) ==
+    CHECK(errorOf(minimalSettingsWith("bindAddrs: {readiness: '10.1.0.40:70000'}")) ==
           "bindAddrs.readiness: must be IPV4:PORT, not '10.1.0.40:70000'");
-    CHECK(faultOf(leastWith("bindAddrs: [a]")) == "bindAddrs: must be a map of fields");
-    CHECK(faultOf(leastWith("seeds: ['10.1.0.44:8064', 'host:1']", "seeds: []")) ==
+    CHECK(errorOf(minimalSettingsWith("bindAddrs: [a]")) == "bindAddrs: must be a map of fields");
+    CHECK(errorOf(minimalSettingsWith("seeds: ['10.1.0.44:8064', 'host:1']", "seeds: []")) ==
           "seeds[1]: must be IPV4:PORT, not 'host:1'");
-    CHECK(faultOf(leastWith("seeds: '10.1.0.44:8064'", "seeds: []")) == "seeds: must be a list");
-    CHECK(faultOf(leastWith("cloud: {address: nowhere}")) ==
+    CHECK(errorOf(minimalSettingsWith("seeds: '10.1.0.44:8064'", "seeds: []")) == "seeds: must be a list");
+    CHECK(errorOf(minimalSettingsWith("cloud: {address: nowhere}")) ==
           "cloud.address: must be IPV4:PORT, not 'nowhere'");
-    CHECK(faultOf(leastWith("serves: edge")) == "serves: must be a list");
+    CHECK(errorOf(minimalSettingsWith("serves: edge")) == "serves: must be a list");
 }
 
-TEST_CASE("port ranges that can't be used are named") {
+TEST_CASE("the error describes each invalid port range") {
     const std::string replaced = "portRange: [7780, 7795]";
-    CHECK(faultOf(leastWith("portRange: [7780]", replaced)) == "portRange: must be a list of two ports");
-    CHECK(faultOf(leastWith("portRange: 7780", replaced)) == "portRange: must be a list");
-    CHECK(faultOf(leastWith("portRange: [7795, 7780]", replaced)) ==
+    CHECK(errorOf(minimalSettingsWith("portRange: [7780]", replaced)) ==
+          "portRange: must be a list of two ports");
+    CHECK(errorOf(minimalSettingsWith("portRange: 7780", replaced)) == "portRange: must be a list");
+    CHECK(errorOf(minimalSettingsWith("portRange: [7795, 7780]", replaced)) ==
           "portRange: must not end before it begins");
-    CHECK(faultOf(leastWith("portRange: [7780, 7781]", replaced)) == "portRange: must hold at least 3 ports");
-    CHECK(faultOf(leastWith("portRange: [7780, 70000]", replaced)) ==
+    CHECK(errorOf(minimalSettingsWith("portRange: [7780, 7781]", replaced)) ==
+          "portRange: must hold at least 3 ports");
+    CHECK(errorOf(minimalSettingsWith("portRange: [7780, 70000]", replaced)) ==
           "portRange[1]: must be from 1 to 65535, not 70000");
-    CHECK(faultOf(leastWith("portRange: [0, 7780]", replaced)) ==
+    CHECK(errorOf(minimalSettingsWith("portRange: [0, 7780]", replaced)) ==
           "portRange[0]: must be from 1 to 65535, not 0");
-    CHECK(faultOf(leastWith("portRange: [77.5, 7780]", replaced)) ==
+    CHECK(errorOf(minimalSettingsWith("portRange: [77.5, 7780]", replaced)) ==
           "portRange[0]: must be a whole number, not 77.5");
-    CHECK(faultOf(leastWith("portRange: [7780, 7782]", replaced)) == "");
+    CHECK(errorOf(minimalSettingsWith("portRange: [7780, 7782]", replaced)) == "");
 }
 
-TEST_CASE("values of the wrong kind are named") {
-    CHECK(faultOf(leastWith("bootstrap: maybe")) == "bootstrap: must be true or false, not 'maybe'");
-    CHECK(faultOf(leastWith("countsForQuorum: 3")) == "countsForQuorum: must be true or false, not '3'");
-    CHECK(faultOf(leastWith("limits: {memoryMb: lots}")) == "limits.memoryMb: must be a number, not 'lots'");
-    CHECK(faultOf(leastWith("limits: {memoryMb: 0}")) ==
+TEST_CASE("the error names each value of the wrong type or range") {
+    CHECK(errorOf(minimalSettingsWith("bootstrap: maybe")) ==
+          "bootstrap: must be true or false, not 'maybe'");
+    CHECK(errorOf(minimalSettingsWith("countsForQuorum: 3")) ==
+          "countsForQuorum: must be true or false, not '3'");
+    CHECK(errorOf(minimalSettingsWith("limits: {memoryMb: lots}")) ==
+          "limits.memoryMb: must be a number, not 'lots'");
+    CHECK(errorOf(minimalSettingsWith("limits: {memoryMb: 0}")) ==
           "limits.memoryMb: must be from 1 to 4294967295, not 0");
-    CHECK(faultOf(leastWith("limits: {maxFds: -1}")) ==
+    CHECK(errorOf(minimalSettingsWith("limits: {maxFds: -1}")) ==
           "limits.maxFds: must be from 1 to 4294967295, not -1");
-    CHECK(faultOf(leastWith("limits: {linkMbps: -1}")).starts_with("limits.linkMbps: must be from 0"));
-    CHECK(faultOf(leastWith("limits: {diskMb: -1}")) ==
+    CHECK(errorOf(minimalSettingsWith("limits: {linkMbps: -1}"))
+              .starts_with("limits.linkMbps: must be from 0"));
+    CHECK(errorOf(minimalSettingsWith("limits: {diskMb: -1}")) ==
           "limits.diskMb: must be from 0 to 4294967295, not -1");
-    CHECK(faultOf(leastWith("limits: {cpuShare: .nan}")).starts_with("limits.cpuShare: must be from "));
-    CHECK(faultOf(leastWith("limits: 3")) == "limits: must be a map of fields");
-    CHECK(faultOf(leastWith("dataDir: [a]")) == "dataDir: must be a single value");
-    CHECK(faultOf(leastWith("faultTolerance: {machines: x}")) ==
+    CHECK(errorOf(minimalSettingsWith("limits: {cpuShare: .nan}"))
+              .starts_with("limits.cpuShare: must be from "));
+    CHECK(errorOf(minimalSettingsWith("limits: 3")) == "limits: must be a map of fields");
+    CHECK(errorOf(minimalSettingsWith("dataDir: [a]")) == "dataDir: must be a single value");
+    CHECK(errorOf(minimalSettingsWith("faultTolerance: {machines: x}")) ==
           "faultTolerance.machines: must be a number, not 'x'");
-    CHECK(faultOf(leastWith("bounds: {drainMs: true}")) == "bounds.drainMs: must be a number, not 'true'");
-    CHECK(faultOf(leastWith("bounds: {graceS: -1}")) ==
+    CHECK(errorOf(minimalSettingsWith("bounds: {drainMs: true}")) ==
+          "bounds.drainMs: must be a number, not 'true'");
+    CHECK(errorOf(minimalSettingsWith("bounds: {graceS: -1}")) ==
           "bounds.graceS: must be from 0 to 1000000000, not -1");
-    CHECK(faultOf(leastWith("bounds: {statusS: .inf}")) ==
+    CHECK(errorOf(minimalSettingsWith("bounds: {statusS: .inf}")) ==
           "bounds.statusS: must be from 0 to 1000000000, not .inf");
-    CHECK(faultOf(leastWith("bounds: {ceilingOvershoot: 0}"))
+    CHECK(errorOf(minimalSettingsWith("bounds: {ceilingOvershoot: 0}"))
               .starts_with("bounds.ceilingOvershoot: must be from "));
-    CHECK(faultOf(leastWith("cloud: {address: '10.0.0.1:80', ratePerS: 0}"))
+    CHECK(errorOf(minimalSettingsWith("cloud: {address: '10.0.0.1:80', ratePerS: 0}"))
               .starts_with("cloud.ratePerS: must be "));
-    CHECK(faultOf(leastWith("cloud: {address: '10.0.0.1:80', maxLagMs: x}")) ==
+    CHECK(errorOf(minimalSettingsWith("cloud: {address: '10.0.0.1:80', maxLagMs: x}")) ==
           "cloud.maxLagMs: must be a number, not 'x'");
 }
--- a/tests/cluster/simulation.hpp
+++ b/tests/cluster/simulation.hpp
@@ -241,7 +241,7 @@
                 });
             });
         };
-        world_.at(world_.now() + timeout, [finish] { finish({Verdict::unknown, {}}); });
+        world_.at(world_.now() + timeout, [finish] { finish({CallStatus::unknown, {}}); });
         ++network_.requests;
         if (!network_.passes(self_.ip, to.ip)) return;
         network_.bytes_to[to.ip] += request.body.size();
@@ -267,7 +267,7 @@
         const auto peer = network_.listeners_.find(to);
         if (network_.cuts_in_flight && !network_.connects(self_.ip, to.ip)) return;
         if (peer == network_.listeners_.end() || !peer->second->handler_)
-            return finish({Verdict::not_executed, {}});
+            return finish({CallStatus::not_executed, {}});
         World& world = world_;
         Network& network = network_;
         const std::string from = self_.ip;
@@ -284,7 +284,7 @@
             const Millis delay = network.draw() + network.sendingTime(to.ip, reply.body.size());
             world.at(world.now() + delay, [&network, from, to, finish, reply = std::move(reply)] {
                 if (network.cuts_in_flight && !network.connects(to.ip, from)) return;
-                finish({Verdict::answered, reply});
+                finish({CallStatus::answered, reply});
             });
         });
     }
--- a/tests/cluster/store_durability_test.cpp
+++ b/tests/cluster/store_durability_test.cpp
@@ -28,7 +28,7 @@
         std::optional<Reply> answer;
         bool done = false;
         transport_.call(store, envelope(kind, request), Millis(5000), [&](const CallResult& result) {
-            if (result.verdict == Verdict::answered) answer = decode<Reply>(result.reply.body);
+            if (result.verdict == CallStatus::answered) answer = decode<Reply>(result.reply.body);
             done = true;
         });
         play_.world.runUntil([&done] { return done; }, Millis(6000));
--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -153,7 +153,7 @@
         transport_->call(owner.address,
                          envelope(MessageKind::peering_progress, PeeringProgressRequest{view_.epoch}),
                          Millis(400), [this, name = owner.name](const CallResult& result) {
-                             if (result.verdict != Verdict::answered) return;
+                             if (result.verdict != CallStatus::answered) return;
                              const auto reply = decode<PeeringProgressReply>(result.reply.body);
                              if (reply && reply->done) done_.insert(name);
                          });
--- a/tests/cluster/store_limits_test.cpp
+++ b/tests/cluster/store_limits_test.cpp
@@ -164,7 +164,7 @@
     CHECK(edges.choose(kStart)->name == "far");
     edges.heard("near", {"10.2.0.2", 1}, kStart);
     CHECK(edges.choose(kStart)->name == "near");
-    const Millis silent = kEdgeHeartbeat + kHeartbeatSlack;
+    const Millis silent = kEdgeHeartbeatInterval + kEdgeSilentSlack;
     CHECK(edges.choose(kStart + silent)->name == "near");
     CHECK(edges.choose(kStart + silent + Millis(1)) == nullptr);
     std::vector<QueueItem> items(kMaxGrantsPerEdge);
@@ -272,7 +272,7 @@
     edges.find("b")->synced_epoch = 4;
     CHECK(edges.allSynced(4, 2, kStart));
     edges.find("b")->synced_epoch = 3;
-    const SteadyTime b_is_gone = kStart + kEdgeHeartbeat + kHeartbeatGone + Millis(1);
+    const SteadyTime b_is_gone = kStart + kEdgeHeartbeatInterval + kEdgeGoneSlack + Millis(1);
     edges.heard("a", {"10.2.0.1", 1}, b_is_gone);
     CHECK(edges.allSynced(4, 1, b_is_gone));
 }
@@ -281,9 +281,9 @@
     Edges edges("here", {}, 1);
     Edge& rests = edges.heard("rests", {"10.2.0.1", 1}, kStart);
     rests.synced_epoch = 1;
-    rests.heartbeat = kHeartbeatsWhileIdle * kEdgeHeartbeat;
-    CHECK(edges.choose(kStart + kEdgeHeartbeat + kHeartbeatSlack + Millis(1))->name == "rests");
-    CHECK(edges.choose(kStart + rests.heartbeat + kHeartbeatSlack + Millis(1)) == nullptr);
+    rests.heartbeat = kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval;
+    CHECK(edges.choose(kStart + kEdgeHeartbeatInterval + kEdgeSilentSlack + Millis(1))->name == "rests");
+    CHECK(edges.choose(kStart + rests.heartbeat + kEdgeSilentSlack + Millis(1)) == nullptr);
 }
 
 TEST_CASE("an edge that is asked whether it is there gets nothing until it is heard") {
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -69,7 +69,7 @@
     PullReply told = answer(true);
     SUBCASE("peered before it went: it may hold the only other copy") {
         PeeringRound round(1, stores, 1, true, 6);
-        told.peered = 6;
+        told.peered_epoch = 6;
         round.onReply("b", told);
         CHECK(!round.enough());
         round.onReply("d", answer(true));
@@ -77,7 +77,7 @@
     }
     SUBCASE("peered without it, as another replica was told") {
         PeeringRound round(1, stores, 1, true, 6);
-        told.peered = 7;
+        told.peered_epoch = 7;
         round.onReply("b", told);
         CHECK(round.enough());
     }
--- a/tests/cluster/store_requests_test.cpp
+++ b/tests/cluster/store_requests_test.cpp
@@ -28,7 +28,7 @@
         std::optional<Reply> answer;
         bool done = false;
         transport_.call(store, envelope(kind, request), Millis(5000), [&](const CallResult& result) {
-            if (result.verdict == Verdict::answered) answer = decode<Reply>(result.reply.body);
+            if (result.verdict == CallStatus::answered) answer = decode<Reply>(result.reply.body);
             done = true;
         });
         play_.world.runUntil([&done] { return done; }, Millis(6000));
@@ -91,7 +91,7 @@
         if (!owner) CHECK(accept->status == AcceptStatus::not_owner);
         const auto report = client.ask<RunReportReply>(machine->address, MessageKind::run_report,
                                                        client.report(content, *accept, RunOutcome::not_run));
-        CHECK(report->taken.at(0) == owner);
+        CHECK(report->accepted.at(0) == owner);
         const auto state =
             client.ask<StateReply>(machine->address, MessageKind::state_query, StateQuery{0, content.id});
         CHECK(state->status == (owner ? QueryStatus::found : QueryStatus::not_owner));
--- a/tests/cluster/store_world.hpp
+++ b/tests/cluster/store_world.hpp
@@ -232,7 +232,7 @@
             if (machine->dropped) continue;
             viewed.push_back(machine.get());
             StoreMember store;
-            store.retire_ordered = store.retiring = machine->retiring;
+            store.retirement_requested = store.retiring = machine->retiring;
             store.joined_epoch = machine->joined_epoch;
             store.joined_incarnation = machine->joined_incarnation;
             store.member.name = machine->name;
@@ -246,7 +246,7 @@
             store.alive = runs && !machine->disk_failed;
             if (store.alive) machine->away_epoch = 0;
             if (!store.alive && machine->away_epoch == 0) machine->away_epoch = next->epoch;
-            store.away_epoch = machine->away_epoch;
+            store.absent_since_epoch = machine->away_epoch;
             next->stores.push_back(store);
         }
         for (std::uint32_t partition = 0; partition < options.partitions; ++partition) {
@@ -299,7 +299,7 @@
                            envelope(MessageKind::peering_progress, PeeringProgressRequest{view->epoch}),
                            Millis(300), [answered, done](const CallResult& result) {
                                ++*answered;
-                               if (result.verdict != Verdict::answered) return;
+                               if (result.verdict != CallStatus::answered) return;
                                const auto reply = decode<PeeringProgressReply>(result.reply.body);
                                if (reply && reply->done) ++*done;
                            });
--- a/tests/cluster/store_world_edge.hpp
+++ b/tests/cluster/store_world_edge.hpp
@@ -49,7 +49,7 @@
 inline void FakeEdge::sync() {
     process_->sync_timer = process_->scheduler->after(Millis(1000), [this] { sync(); });
     if (!view_) return;
-    const bool rests = play_.options.far_edges && heartbeats_++ % kHeartbeatsWhileIdle != 0;
+    const bool rests = play_.options.far_edges && heartbeats_++ % kRemoteIdleHeartbeatFactor != 0;
     for (const StoreMember& store : view_->stores) {
         const bool spared = rests && !leaving && !runsFor(store.member.address);
         if (store.alive && !spared) syncTo(store.member.address);
@@ -63,8 +63,10 @@
 
 inline void FakeEdge::syncTo(const NodeAddress& store) {
     EdgeSync message{name_, zone_, address_, incarnation_, view_->epoch, leaving, {}, 0};
-    message.next_within_ms =
-        (play_.options.far_edges ? kHeartbeatsWhileIdle * kEdgeHeartbeat : kEdgeHeartbeat).count();
+    message.next_sync_within_ms =
+        (play_.options.far_edges ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval
+                                 : kEdgeHeartbeatInterval)
+            .count();
     for (const auto& [name, attempt] : running_) message.running.push_back(attempt);
     process_->transport->call(store, envelope(MessageKind::edge_sync, message), Millis(500),
                               [](CallResult) {});
@@ -98,7 +100,7 @@
     process_->transport->call(*owner, envelope(MessageKind::accept_message, request), Millis(2000),
                               [this, content, partition](const CallResult& result) {
                                   last_status = AcceptStatus::unknown;
-                                  if (result.verdict != Verdict::answered) return;
+                                  if (result.verdict != CallStatus::answered) return;
                                   const auto reply = decode<AcceptMessageReply>(result.reply.body);
                                   last_status = reply->status;
                                   if (reply->status == AcceptStatus::stored) {
@@ -119,10 +121,10 @@
     if (static_cast<MessageKind>(request.kind) != MessageKind::grant_push) return;
     const auto push = decode<GrantPush>(request.body);
     GrantPushReply answer;
-    answer.other_process = push->edge_incarnation != 0 && push->edge_incarnation != incarnation_;
-    const bool takes = !leaving && !answer.other_process;
+    answer.edge_restarted = push->edge_incarnation != 0 && push->edge_incarnation != incarnation_;
+    const bool takes = !leaving && !answer.edge_restarted;
     for (const Grant& grant : push->grants) {
-        answer.taken.push_back(takes);
+        answer.accepted.push_back(takes);
         if (!takes) continue;
         if (grant.callback) {
             runCallback(grant);
@@ -193,7 +195,7 @@
         if (play_.world.chance() < play_.options.failures)
             return finish(grant, RunOutcome::callback_failed, {});
         ++play_.ledger.messages[grant.content.id].callbacks_taken;
-        finish(grant, RunOutcome::callback_taken, {});
+        finish(grant, RunOutcome::callback_delivered, {});
     });
 }
 
@@ -219,10 +221,10 @@
     RunReport message{name_, address_, {result}};
     process_->transport->call(*owner, envelope(MessageKind::run_report, message), Millis(500),
                               [this, result, again](const CallResult& call) {
-                                  const auto reply = call.verdict == Verdict::answered
+                                  const auto reply = call.verdict == CallStatus::answered
                                                          ? decode<RunReportReply>(call.reply.body)
                                                          : std::nullopt;
-                                  if (!reply || !reply->taken.at(0)) return again();
+                                  if (!reply || !reply->accepted.at(0)) return again();
                                   running_.erase({result.id, result.epoch, result.attempt});
                               });
 }
@@ -236,7 +238,7 @@
         if (!owner) return std::nullopt;
         process_->transport->call(*owner, envelope(kind, StateQuery{partition, id}), Millis(300),
                                   [&found, &done](const CallResult& result) {
-                                      if (result.verdict == Verdict::answered) {
+                                      if (result.verdict == CallStatus::answered) {
                                           found = decode<StateReply>(result.reply.body);
                                       }
                                       done = true;
--- a/tests/cluster/transport_contract.hpp
+++ b/tests/cluster/transport_contract.hpp
@@ -48,7 +48,7 @@
     CHECK(outcome.times == 0);  // never inside call()
     REQUIRE(play.runUntil([&] { return outcome.times > 0; }));
     CHECK(outcome.times == 1);
-    CHECK(outcome.result.verdict == Verdict::answered);
+    CHECK(outcome.result.verdict == CallStatus::answered);
     CHECK(outcome.result.reply.kind == 8);
     CHECK(outcome.result.reply.body == "re:hello");
 }
@@ -66,7 +66,7 @@
     play.caller->call(play.calleeAddress(), {1, ""}, kPatient, empty.hear());
     REQUIRE(play.runUntil([&] { return large.times > 0 && empty.times > 0; }));
     CHECK(large.result.reply.body == body);
-    CHECK(empty.result.verdict == Verdict::answered);
+    CHECK(empty.result.verdict == CallStatus::answered);
     CHECK(empty.result.reply.body.empty());
 }
 
@@ -107,8 +107,8 @@
     play.caller->call(play.nobody(), {1, "b"}, kPatient, second.hear());
     CHECK(first.times == 0);
     REQUIRE(play.runUntil([&] { return first.times > 0 && second.times > 0; }));
-    CHECK(first.result.verdict == Verdict::not_executed);
-    CHECK(second.result.verdict == Verdict::not_executed);
+    CHECK(first.result.verdict == CallStatus::not_executed);
+    CHECK(second.result.verdict == CallStatus::not_executed);
     CHECK(first.times == 1);
     CHECK(second.times == 1);
 }
@@ -131,7 +131,7 @@
     Outcome held;
     play.caller->call(play.calleeAddress(), {1, "hold"}, kImpatient, held.hear());
     REQUIRE(play.runUntil([&] { return held.times > 0 && late; }));
-    CHECK(held.result.verdict == Verdict::unknown);
+    CHECK(held.result.verdict == CallStatus::unknown);
     late({0, "late"});
     Outcome next;
     play.caller->call(play.calleeAddress(), {1, "next"}, kPatient, next.hear());
@@ -163,11 +163,11 @@
     play.stopCallee();
     held({0, "from the grave"});  // dropped
     REQUIRE(play.runUntil([&] { return lost.times > 0; }));
-    CHECK(lost.result.verdict == Verdict::unknown);
+    CHECK(lost.result.verdict == CallStatus::unknown);
     Outcome refused;
     play.caller->call(play.calleeAddress(), {1, "dead"}, kPatient, refused.hear());
     REQUIRE(play.runUntil([&] { return refused.times > 0; }));
-    CHECK(refused.result.verdict == Verdict::not_executed);
+    CHECK(refused.result.verdict == CallStatus::not_executed);
     play.startCallee();
     play.callee->serve(echo());
     Outcome served;
@@ -184,9 +184,9 @@
     play.callee->serve(echo());
     Outcome last;
     play.caller->call(play.nobody(), {1, "x"}, kPatient, [&](const CallResult& first) {
-        CHECK(first.verdict == Verdict::not_executed);
+        CHECK(first.verdict == CallStatus::not_executed);
         play.caller->call(play.nobody(), {1, "y"}, kPatient, [&](const CallResult& second) {
-            CHECK(second.verdict == Verdict::not_executed);
+            CHECK(second.verdict == CallStatus::not_executed);
             play.caller->call(play.calleeAddress(), {1, "z"}, kPatient, last.hear());
         });
     });
--- a/tests/cluster/transport_test.cpp
+++ b/tests/cluster/transport_test.cpp
@@ -152,7 +152,7 @@
         server.connections[0]->reset();
     }
     REQUIRE(runUntil(loop, [&] { return lost.times > 0; }));
-    CHECK(lost.result.verdict == Verdict::unknown);
+    CHECK(lost.result.verdict == CallStatus::unknown);
     CHECK(loop.now() - start < Millis(2000));
     Outcome next;
     transport.call(server.address, {5, "two"}, kPatient, next.hear());
@@ -160,7 +160,7 @@
         loop, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
     server.connections[1]->send(goodFrame(2, 1, "ok"));
     REQUIRE(runUntil(loop, [&] { return next.times > 0; }));
-    CHECK(next.result.verdict == Verdict::answered);
+    CHECK(next.result.verdict == CallStatus::answered);
 }
 
 TEST_CASE("tcp: answers to calls of a broken connection end no call of the next one") {
@@ -191,7 +191,7 @@
     REQUIRE(runUntil(loop, [&] { return last.times > 0; }));
     CHECK(last.result.reply.body == "third");
     CHECK(before.times == 1);
-    CHECK(before.result.verdict == Verdict::unknown);
+    CHECK(before.result.verdict == CallStatus::unknown);
     CHECK(after.times == 1);
 }
 
@@ -234,8 +234,8 @@
     loop.runOnce();
     server.connections[0]->reset();
     REQUIRE(runUntil(loop, [&] { return first.times > 0 && last.times > 0; }));
-    CHECK(first.result.verdict == Verdict::unknown);
-    CHECK(last.result.verdict == Verdict::not_executed);
+    CHECK(first.result.verdict == CallStatus::unknown);
+    CHECK(last.result.verdict == CallStatus::not_executed);
 }
 
 TEST_CASE("tcp: a silent peer gets a new connection after a timeout") {
@@ -249,11 +249,11 @@
     transport.call(server.address, {5, "slow"}, Millis(1100), slow.hear());
     transport.call(server.address, {5, "open"}, kPatient, open.hear());
     REQUIRE(runUntil(loop, [&] { return quick.times > 0; }));
-    CHECK(quick.result.verdict == Verdict::unknown);
+    CHECK(quick.result.verdict == CallStatus::unknown);
     CHECK_FALSE(server.connections[0]->closed);  // silent for a moment only
     REQUIRE(runUntil(loop, [&] { return open.times > 0; }));
-    CHECK(slow.result.verdict == Verdict::unknown);
-    CHECK(open.result.verdict == Verdict::unknown);
+    CHECK(slow.result.verdict == CallStatus::unknown);
+    CHECK(open.result.verdict == CallStatus::unknown);
     REQUIRE(runUntil(loop, [&] { return server.connections[0]->closed; }));
 }
 
@@ -273,10 +273,10 @@
     transport.call(address, {5, "quick"}, kImpatient, quick.hear());
     transport.call(address, {5, "patient"}, kPatient, patient.hear());
     REQUIRE(runUntil(loop, [&] { return quick.times > 0; }));
-    CHECK(quick.result.verdict == Verdict::not_executed);
+    CHECK(quick.result.verdict == CallStatus::not_executed);
     CHECK(patient.times == 0);
     REQUIRE(runUntil(loop, [&] { return patient.times > 0; }));
-    CHECK(patient.result.verdict == Verdict::not_executed);
+    CHECK(patient.result.verdict == CallStatus::not_executed);
     CHECK(loop.now() - start >= Millis(300));
     CHECK(loop.now() - start < Millis(900));
 }
--- a/tests/explorer/explored_process.hpp
+++ b/tests/explorer/explored_process.hpp
@@ -188,7 +188,7 @@
         const auto open = std::make_shared<OpenCall>();
         open->alive = alive_;
         open->done = std::move(done);
-        open->timer = world_.addTimer(machine_, timeout, [open] { open->finish({Verdict::unknown, {}}); });
+        open->timer = world_.addTimer(machine_, timeout, [open] { open->finish({CallStatus::unknown, {}}); });
         Event event;
         event.kind = EventKind::request;
         event.from = machine_;
@@ -219,13 +219,13 @@
         const auto peer = listeners_.transports.find(to);
         const int callee = listeners_.machines.at(to);
         if (peer == listeners_.transports.end())
-            return answer(callee, "refusal", open, {Verdict::not_executed, {}}, fingerprint);
+            return answer(callee, "refusal", open, {CallStatus::not_executed, {}}, fingerprint);
         const Alive callee_alive = peer->second->alive_;
         const char* const what = nameOfKind(request.kind);
         peer->second->handler_(
             request, [this, caller = alive_, callee_alive, callee, what, open, fingerprint](Envelope reply) {
                 if (!*caller || !*callee_alive) return;
-                answer(callee, what, open, {Verdict::answered, std::move(reply)}, fingerprint);
+                answer(callee, what, open, {CallStatus::answered, std::move(reply)}, fingerprint);
             });
     }
     void answer(int callee, const char* what, const std::shared_ptr<OpenCall>& open, CallResult result,
--- a/tests/explorer/planted_faults_test.cpp
+++ b/tests/explorer/planted_faults_test.cpp
@@ -4,7 +4,7 @@
 
 #include <iostream>
 
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "tests/explorer/bounds.hpp"
 #include "tests/explorer/lease_scenario.hpp"
 #include "tests/explorer/quiet_log.hpp"
@@ -18,15 +18,15 @@
 
 class Planted {
 public:
-    explicit Planted(PlantedFault fault) {
+    explicit Planted(InjectedFault fault) {
         quietLog();
-        planted_fault = fault;
+        injected_fault = fault;
     }
-    ~Planted() { planted_fault = PlantedFault::none; }
+    ~Planted() { injected_fault = InjectedFault::none; }
 };
 
 // The fault is found within the bounds, its steps break the rule again, and without the fault they don't.
-void checkFound(PlantedFault fault, const ScenarioMaker& make, const Limits& limits) {
+void checkFound(InjectedFault fault, const ScenarioMaker& make, const Limits& limits) {
     ExplorationResult result;
     {
         const Planted planted(fault);
@@ -40,7 +40,7 @@
 }
 
 // For faults that show only where all power is lost at the right step: the depth is where an execution ends.
-void checkFoundAtSomeDepth(PlantedFault fault, const ScenarioMaker& make, Limits limits) {
+void checkFoundAtSomeDepth(InjectedFault fault, const ScenarioMaker& make, Limits limits) {
     const Planted planted(fault);
     for (limits.depth = 20; limits.depth <= 80; limits.depth += 2) {
         const ExplorationResult result = exploreRising(make, limits);
@@ -62,37 +62,37 @@
 }  // namespace
 
 TEST_CASE("found: a voter answers before its sync") {
-    checkFound(PlantedFault::answers_before_sync, threeMachines, registerLimits(2));
+    checkFound(InjectedFault::answers_before_sync, threeMachines, registerLimits(2));
 }
 TEST_CASE("found: a voter counts a sync that failed") {
     const Limits limits = limitsOf(2, {Deviation::fail_sync, Deviation::drop});
-    checkFoundAtSomeDepth(PlantedFault::failed_sync_counts, threeMachines, limits);
+    checkFoundAtSomeDepth(InjectedFault::failed_sync_counts, threeMachines, limits);
 }
 TEST_CASE("found: a voter accepts below its promise") {
-    checkFound(PlantedFault::accepts_below_promise, threeMachines, registerLimits(2));
+    checkFound(InjectedFault::accepts_below_promise, threeMachines, registerLimits(2));
 }
 TEST_CASE("found: a proposer adopts the first value it is told") {
-    checkFound(PlantedFault::adopts_first_value, threeMachines, registerLimits(2));
+    checkFound(InjectedFault::adopts_first_value, threeMachines, registerLimits(2));
 }
 TEST_CASE("found: half of the voters count as a majority") {
-    checkFound(PlantedFault::half_is_majority, threeMachines, registerLimits(2));
+    checkFound(InjectedFault::half_is_majority, threeMachines, registerLimits(2));
 }
 TEST_CASE("found: a read is answered without being written back") {
-    checkFound(PlantedFault::reads_without_writing_back, threeMachines, registerLimits(2));
+    checkFound(InjectedFault::reads_without_writing_back, threeMachines, registerLimits(2));
 }
 TEST_CASE("found: a machine that lost its disk votes before it has recovered") {
     const Limits limits = limitsOf(2, {Deviation::lose_disk, Deviation::drop});
-    checkFoundAtSomeDepth(PlantedFault::votes_before_recovery, threeMachines, limits);
+    checkFoundAtSomeDepth(InjectedFault::votes_before_recovery, threeMachines, limits);
 }
 TEST_CASE("found: a leader counts its lease from the answer and without a margin") {
-    checkFound(PlantedFault::lease_counted_from_answer, leases, leaseLimits(2));
+    checkFound(InjectedFault::lease_counted_from_answer, leases, leaseLimits(2));
 }
 TEST_CASE("found: a machine that has just started votes for a leader at once") {
-    checkFound(PlantedFault::fresh_grantor_votes_at_once, leases, leaseLimits(2));
+    checkFound(InjectedFault::fresh_grantor_votes_at_once, leases, leaseLimits(2));
 }
 
 TEST_CASE("found: voters are changed without a majority that is there") {
-    const Planted planted(PlantedFault::changes_voters_without_majority);
+    const Planted planted(InjectedFault::changes_voters_without_majority);
     std::size_t tried = 0;
     const std::string broken = brokenByNextVoters(tried);
     std::cout << tried << " sets: " << broken << std::endl;
--- a/tests/history/many_changes_test.cpp
+++ b/tests/history/many_changes_test.cpp
@@ -74,7 +74,9 @@
         return result;
     }
     // Its value with the changes that are remembered.
-    std::uint64_t valueBytes() { return largeConfiguration(generation).size() + 512 * sizeof(TakenChange); }
+    std::uint64_t valueBytes() {
+        return largeConfiguration(generation).size() + 512 * sizeof(AcceptedChange);
+    }
 
     std::int64_t generation = 0;
 };
@@ -99,7 +101,7 @@
     const ManyChanges::Return few = after(20);
     const ManyChanges::Return many = after(1000);
     const ManyChanges play(1);
-    const std::uint64_t value = largeConfiguration(1000).size() + 512 * sizeof(TakenChange);
+    const std::uint64_t value = largeConfiguration(1000).size() + 512 * sizeof(AcceptedChange);
     MESSAGE(what << ", 20 changes: " << few.time.count() << " ms, " << few.bytes << " bytes; 1000 changes: "
                  << many.time.count() << " ms, " << many.bytes << " bytes; a value is at most " << value);
     CHECK(few.time <= kCatchUpBound);
