--- a/src/cluster/control/register_proposer.cpp
+++ b/src/cluster/control/register_proposer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/control/typed_call.hpp"
 
 namespace amberswitch::cluster {
@@ -43,7 +43,7 @@
     Decision decision;
 
     std::size_t majority() const {
-        return voters.addresses.size() / 2 + (isPlanted(PlantedFault::half_is_majority) ? 0 : 1);
+        return voters.addresses.size() / 2 + (isFaultInjected(InjectedFault::half_is_majority) ? 0 : 1);
     }
 };
 
@@ -134,7 +134,7 @@
     ++change->reply_count;
     if (reply && reply->voter && reply->promised) {
         ++change->vote_count;
-        const bool keeps_first = isPlanted(PlantedFault::adopts_first_value) && !change->current.empty();
+        const bool keeps_first = isFaultInjected(InjectedFault::adopts_first_value) && !change->current.empty();
         if (reply->accepted > change->highest_accepted && !keeps_first) {
             change->highest_accepted = reply->accepted;
             change->current = std::move(reply->value);
@@ -161,7 +161,7 @@
 void RegisterProposer::sendAccept(const ChangeHandle& change) {
     const std::vector<NodeAddress> voters = votersToAsk(*change);
     change->decision = change->decide(change->current);
-    if (isPlanted(PlantedFault::reads_without_writing_back) && !change->decision.write)
+    if (isFaultInjected(InjectedFault::reads_without_writing_back) && !change->decision.write)
         return finish(change,
                       {true, false, change->highest_accepted, change->current, change->voters.version});
     change->phase = ChangePhase::accept;
--- a/src/cluster/control/register_values.cpp
+++ b/src/cluster/control/register_values.cpp
@@ -37,7 +37,7 @@
 // Decompresses the compressed fields in place. Returns false if they are damaged.
 bool decompressFields(ConfigurationState& state) {
     if (looksCompressed(state.body)) {
-        std::optional<std::string> body = decompressed(state.body, kMaxDecompressedBytes);
+        std::optional<std::string> body = decompress(state.body, kMaxDecompressedBytes);
         if (!body) return false;
         state.body = std::move(*body);
     }
@@ -53,7 +53,7 @@
 template <class Value>
 std::optional<Value> readValue(const std::string& bytes) {
     if (bytes.empty()) return Value{};
-    std::optional<Value> value = decodeWhole<Value>(bytes);
+    std::optional<Value> value = decodeExact<Value>(bytes);
     if (!value || !isValid(*value) || !decompressFields(*value)) return std::nullopt;
     return value;
 }
@@ -71,7 +71,7 @@
 }  // namespace
 
 std::string encodeConfigurationState(const ConfigurationState& state) {
-    return encode(ConfigurationState{state.generation, compressed(state.body), state.taken});
+    return encode(ConfigurationState{state.generation, compress(state.body), state.accepted_changes});
 }
 
 std::optional<ConfigurationState> readConfigurationState(const std::string& bytes) {
--- a/src/cluster/control/register_voter.hpp
+++ b/src/cluster/control/register_voter.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "cluster/common/messages.hpp"
-#include "cluster/common/planted_fault.hpp"
+#include "cluster/common/injected_fault.hpp"
 #include "cluster/control/lifetime.hpp"
 #include "cluster/control/register_messages.hpp"
 #include "cluster/storage/record_store.hpp"
@@ -44,7 +44,7 @@
     bool isDiskHealthy() const { return disk_.healthy(); }
     // True if this machine has its data and is in the newest known voter set.
     bool canVote() const {
-        return (hasData() || isPlanted(PlantedFault::votes_before_recovery)) && isAmongVoters();
+        return (hasData() || isFaultInjected(InjectedFault::votes_before_recovery)) && isAmongVoters();
     }
     // True if the data is missing or cannot be trusted; the machine must recover before it may vote.
     bool needsRecovery() const { return !data_valid_ && !first_start_; }
--- a/src/cluster/storage/edge_registry.cpp
+++ b/src/cluster/storage/edge_registry.cpp
@@ -77,7 +77,7 @@
     Distance least = Distance::other_region;
     for (auto& [name, edge] : edges_) {
         if (!canTakeGrant(edge, now)) continue;
-        const Distance distance = topology_.between(own_zone_, edge.zone);
+        const Distance distance = topology_.distanceBetween(own_zone_, edge.zone);
         if (distance > least) continue;
         if (distance < least) nearest.clear();
         least = distance;
@@ -149,7 +149,7 @@
     // edge.
     std::shuffle(available.begin(), available.end(), random_);
     const auto key = [&](const Edge* edge) {
-        return std::pair(grantsFor(*edge, receiver), topology_.between(own_zone_, edge->zone));
+        return std::pair(grantsFor(*edge, receiver), topology_.distanceBetween(own_zone_, edge->zone));
     };
     return *std::min_element(available.begin(), available.end(),
                              [&key](const Edge* left, const Edge* right) { return key(left) < key(right); });
--- a/src/cluster/storage/edge_registry.hpp
+++ b/src/cluster/storage/edge_registry.hpp
@@ -30,7 +30,7 @@
     NodeAddress address;
     Incarnation incarnation = 0;
     SteadyTime last_contact;
-    Millis heartbeat = kEdgeHeartbeat;  // interval announced in its last edge_sync
+    Millis heartbeat = kEdgeHeartbeatInterval;  // interval announced in its last edge_sync
     Epoch synced_epoch = 0;             // newest view epoch for which it listed its running attempts
     bool usable = true;                 // false after a failed push, until its next contact
     bool leaving = false;
@@ -41,9 +41,9 @@
     // A liveness probe is pending and nothing has arrived from the edge since it was sent.
     bool isAwaitingProbeAnswer() const { return probed && last_contact <= *probed; }
     // The announced heartbeat is overdue: the edge gets no grants until its next contact.
-    bool isSilent(SteadyTime now) const { return last_contact + heartbeat + kHeartbeatSlack < now; }
+    bool isSilent(SteadyTime now) const { return last_contact + heartbeat + kEdgeSilentSlack < now; }
     // The edge has been silent for so long that it no longer counts as connected.
-    bool isGone(SteadyTime now) const { return last_contact + heartbeat + kHeartbeatGone < now; }
+    bool isGone(SteadyTime now) const { return last_contact + heartbeat + kEdgeGoneSlack < now; }
 };
 
 // All edges that have contacted this store. Pointers to edges stay valid until forgetSilent() removes the
@@ -86,7 +86,7 @@
 
 private:
     bool isFar(const Edge& edge) const {
-        return topology_.between(own_zone_, edge.zone) == Distance::other_region;
+        return topology_.distanceBetween(own_zone_, edge.zone) == Distance::other_region;
     }
     // Whether the edge can be given one more grant.
     static bool canTakeGrant(const Edge& edge, SteadyTime now);
--- a/src/cluster/storage/edge_watch.cpp
+++ b/src/cluster/storage/edge_watch.cpp
@@ -47,7 +47,7 @@
     edge.incarnation = sync.incarnation;
     edge.zone = sync.zone;
     edge.leaving = sync.leaving;
-    if (sync.next_within_ms > 0) edge.heartbeat = Millis(sync.next_within_ms);
+    if (sync.next_sync_within_ms > 0) edge.heartbeat = Millis(sync.next_sync_within_ms);
     edge.synced_epoch = sync.view_epoch;
     edge.running = sync.running;
     for (const RunningAttempt& running : sync.running) granter_.adoptRunning(sync.edge, running, false);
@@ -148,7 +148,7 @@
     reclaimExpired(edge);
     if (edge.name == kUnknownEdge || edge.grants.empty()) return;
     if (edge.probed) return;
-    const bool heartbeat_in_time = edge.last_contact + kEdgeHeartbeat + kProbeGrace >= clock_.now();
+    const bool heartbeat_in_time = edge.last_contact + kEdgeHeartbeatInterval + kProbeGrace >= clock_.now();
     if (edge.usable && heartbeat_in_time) return;
     probe(edge);
 }
@@ -166,10 +166,10 @@
     Edge* const edge = grants_.edges.find(name);
     if (edge == nullptr || !edge->probed) return;
     const SteadyTime probed = *std::exchange(edge->probed, std::nullopt);
-    if (result.verdict == Verdict::answered) {
+    if (result.verdict == CallStatus::answered) {
         const auto reply = decode<GrantPushReply>(result.reply.body);
         // A new process of the edge lists its running attempts itself, with its first edge_sync.
-        if (reply && !reply->other_process) recordContact(name, edge->address);
+        if (reply && !reply->edge_restarted) recordContact(name, edge->address);
     } else if (edge->last_contact <= probed) {
         edge->usable = false;
         reclaimUnanswered(*edge, probed);
--- a/src/cluster/storage/outcome_handler.cpp
+++ b/src/cluster/storage/outcome_handler.cpp
@@ -64,7 +64,7 @@
         case RunOutcome::not_run:
             ++counters.reported_not_run;
             return;
-        case RunOutcome::callback_taken:
+        case RunOutcome::callback_delivered:
         case RunOutcome::callback_failed:
             return;
     }
@@ -103,7 +103,7 @@
 void OutcomeHandler::applyToCallback(OwnedPartition& owned, QueueItem& item, const RunResult& result) {
     const bool current = item.grant && item.grant->id == AttemptId{result.epoch, result.attempt};
     switch (result.outcome) {
-        case RunOutcome::callback_taken:
+        case RunOutcome::callback_delivered:
             finishCallback(owned, item, DestinationStatus::reached);
             break;
         case RunOutcome::callback_failed:
--- a/tests/cluster/control_cut_off_test.cpp
+++ b/tests/cluster/control_cut_off_test.cpp
@@ -261,7 +261,7 @@
     // Polls as new clients, and as clients that have the configuration acknowledged before the last one.
     void probe() {
         for (const auto& machine : world_.core) {
-            const NodeAddress address = machine->settings().internal(PortOffset::core);
+            const NodeAddress address = machine->settings().internalAddress(PortOffset::core);
             for (MemoryTransport* from : {&roaming_probe_, &attached_probe_}) {
                 poll(*from, address, 0);
                 poll(*from, address, newestAcknowledged() - 1);
@@ -279,7 +279,7 @@
         const std::int64_t newest = newestAcknowledged();
         from.call(to, envelope(MessageKind::watch, request), Millis(500), [this, newest](CallResult result) {
             const auto answer = decode<WatchReply>(result.reply.body);
-            if (result.verdict != Verdict::answered || !answer) return;
+            if (result.verdict != CallStatus::answered || !answer) return;
             if (!answer->config) return void(++failures_.missed_updates);
             if (answer->config->configuration.generation < newest) ++failures_.stale_answers;
         });
--- a/tests/cluster/control_window_test.cpp
+++ b/tests/cluster/control_window_test.cpp
@@ -27,13 +27,13 @@
     return generations;
 }
 
-TakenChange changeTo(std::int64_t generation, std::int64_t base, std::uint64_t digest = 1) {
+AcceptedChange changeTo(std::int64_t generation, std::int64_t base, std::uint64_t digest = 1) {
     return {generation, base, digest};
 }
 
 // All accepted changes, and the state after them.
 struct History {
-    std::vector<TakenChange> changes;
+    std::vector<AcceptedChange> changes;
     ConfigurationState state;
 
     explicit History(int count) {
@@ -46,7 +46,7 @@
         REQUIRE(decision.write);
         state = decision.next;
     }
-    ReplaceVerdict verdictOf(const TakenChange& change) const {
+    ReplaceVerdict verdictOf(const AcceptedChange& change) const {
         const ReplaceDecision decision = decideReplace(state, change, "body");
         if (change.base != state.generation) CHECK_FALSE(decision.write);
         return decision.verdict;
@@ -75,7 +75,7 @@
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::taken);
     const std::int64_t next = history.state.generation + 3;
     history.take(next);
-    CHECK(history.state.taken.size() == kTakenKept);
+    CHECK(history.state.accepted_changes.size() == kTakenKept);
     CHECK(newestForgotten(history.state) == history.changes[0].generation);
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::forgotten);
     CHECK(history.verdictOf(history.changes[1]) == ReplaceVerdict::taken);
@@ -94,7 +94,7 @@
     // A conflicting change for each remembered one, with the same or another generation: the base is not the
     // current version.
     for (std::size_t index = kChanges - kTakenKept; index < history.changes.size(); ++index) {
-        const TakenChange& won = history.changes[index];
+        const AcceptedChange& won = history.changes[index];
         CHECK(history.verdictOf(changeTo(won.generation, won.base, 9)) == ReplaceVerdict::other_base);
         CHECK(history.verdictOf(changeTo(current + 1, won.base, 9)) == ReplaceVerdict::other_base);
     }
--- a/tests/cluster/register_values_test.cpp
+++ b/tests/cluster/register_values_test.cpp
@@ -73,7 +73,7 @@
     REQUIRE(read.has_value());
     CHECK(read->generation == state.generation);
     CHECK((read->body == state.body));
-    CHECK(read->taken == state.taken);
+    CHECK(read->accepted_changes == state.accepted_changes);
 }
 
 TEST_CASE("a configuration that an older program wrote uncompressed is read") {
@@ -85,13 +85,13 @@
         const std::optional<ConfigurationState> read = readConfigurationState(value);
         REQUIRE(read.has_value());
         CHECK((read->body == state.body));
-        CHECK(read->taken == state.taken);
+        CHECK(read->accepted_changes == state.accepted_changes);
     }
 }
 
 TEST_CASE("a damaged compressed body is not readable, and not taken for an empty configuration") {
     const std::string body = largeState().body;
-    const std::string whole = compressed(body);
+    const std::string whole = compress(body);
     const auto isRead = [](const std::string& kept) {
         const std::string value = encode(ConfigurationState{3, kept, {}});
         const bool read = readConfigurationState(value).has_value();
@@ -112,7 +112,7 @@
 
 TEST_CASE("a body that decompresses to more than the limit is not readable") {
     constexpr std::size_t kFarTooManyBytes = 65 * 1024 * 1024;
-    const std::string bomb = compressed("{" + std::string(kFarTooManyBytes, ' '));
+    const std::string bomb = compress("{" + std::string(kFarTooManyBytes, ' '));
     REQUIRE(bomb.size() < kMaxConfigurationValueBytes);
     CHECK_FALSE(readConfigurationState(encode(ConfigurationState{3, bomb, {}})).has_value());
 }
@@ -147,7 +147,7 @@
     REQUIRE(sim.replace(*sim.core[0], 0, first) == kTaken);
     const std::string body = randomConfiguration(2, 30'000);
     REQUIRE(body.size() < kMaxOperatorBodyBytes);
-    REQUIRE(compressed(body).size() > kMaxConfigurationValueBytes);
+    REQUIRE(compress(body).size() > kMaxConfigurationValueBytes);
     CHECK(sim.replace(*sim.core[1], 1, body) == kTooLarge);
     CHECK(sim.read(*sim.core[2]).body == first);
     CHECK(sim.replace(*sim.core[0], 1, largeConfiguration(2, 1'000)) == kTaken);
--- a/tests/cluster/store_limits_test.cpp
+++ b/tests/cluster/store_limits_test.cpp
@@ -166,7 +166,7 @@
     CHECK(edges.choose(kStart)->name == "far");
     edges.recordContact("near", {"10.2.0.2", 1}, kStart);
     CHECK(edges.choose(kStart)->name == "near");
-    const Millis silent = kEdgeHeartbeat + kHeartbeatSlack;
+    const Millis silent = kEdgeHeartbeatInterval + kEdgeSilentSlack;
     CHECK(edges.choose(kStart + silent)->name == "near");
     CHECK(edges.choose(kStart + silent + Millis(1)) == nullptr);
     std::vector<QueueItem> items(kMaxGrantsPerEdge);
@@ -275,7 +275,7 @@
     edges.find("b")->synced_epoch = 4;
     CHECK(edges.allSynced(4, 2, kStart));
     edges.find("b")->synced_epoch = 3;
-    const SteadyTime b_is_gone = kStart + kEdgeHeartbeat + kHeartbeatGone + Millis(1);
+    const SteadyTime b_is_gone = kStart + kEdgeHeartbeatInterval + kEdgeGoneSlack + Millis(1);
     edges.recordContact("a", {"10.2.0.1", 1}, b_is_gone);
     CHECK(edges.allSynced(4, 1, b_is_gone));
 }
@@ -284,9 +284,9 @@
     EdgeRegistry edges("here", {}, 1);
     Edge& idle = edges.recordContact("idle", {"10.2.0.1", 1}, kStart);
     idle.synced_epoch = 1;
-    idle.heartbeat = kHeartbeatsWhileIdle * kEdgeHeartbeat;
-    CHECK(edges.choose(kStart + kEdgeHeartbeat + kHeartbeatSlack + Millis(1))->name == "idle");
-    CHECK(edges.choose(kStart + idle.heartbeat + kHeartbeatSlack + Millis(1)) == nullptr);
+    idle.heartbeat = kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval;
+    CHECK(edges.choose(kStart + kEdgeHeartbeatInterval + kEdgeSilentSlack + Millis(1))->name == "idle");
+    CHECK(edges.choose(kStart + idle.heartbeat + kEdgeSilentSlack + Millis(1)) == nullptr);
 }
 
 TEST_CASE("an edge with a pending probe gets no grants until its next contact") {
