--- a/apps/ambercluster/roles.cpp
+++ b/apps/ambercluster/roles.cpp
@@ -147,7 +147,7 @@
 
     void begin() {
         give_up_at_ = loop_.now() + std::max(grace_ - kExitBeforeGrace, Millis(0));
-        front_.startClosing();
+        front_.startDraining();
         node_.leave([this] {
             front_.stopListening();
             quiet_since_ = loop_.now();
@@ -202,7 +202,7 @@
                           [&] { return node.metricsText() + exchange.meter.text() + invariantsText(); });
     loop.onSignal(SIGHUP, [] {});
     loop.onSignal(SIGTERM, [&] {
-        operators.startClosing();
+        operators.startDraining();
         node.leave([&loop] { loop.stop(); });
     });
     node.start();
--- a/bench/cluster_core_bench.cpp
+++ b/bench/cluster_core_bench.cpp
@@ -102,7 +102,7 @@
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     Member self = edgeMember(0);
-    self.address = transport.self();
+    self.address = transport.address();
     NodeLocations locations(self.zone, {});
     CoreClient client(loop, transport, self, core, locations, {});
     client.start();
--- a/bench/cluster_net_bench.cpp
+++ b/bench/cluster_net_bench.cpp
@@ -74,7 +74,7 @@
     callee.serve([](const Envelope&, const Responder& respond) { respond({0, "done"}); });
     const std::string body(size, 'x');
     Rounds rounds(loop, at_once, [&](std::function<void()> done) {
-        caller.call(callee.self(), {1, body}, kTimeout,
+        caller.call(callee.address(), {1, body}, kTimeout,
                     [done = std::move(done)](const CallResult&) { done(); });
     });
     rounds.measure(("call of " + std::to_string(size) + " bytes").c_str());
--- a/bench/cluster_store_bench.cpp
+++ b/bench/cluster_store_bench.cpp
@@ -43,7 +43,7 @@
         EdgeSync sync;
         sync.edge = "edge-0";
         sync.zone = "zone-0";
-        sync.edge_address = transport_.self();
+        sync.edge_address = transport_.address();
         sync.incarnation = 1;
         sync.view_epoch = 1;
         callFor<EdgeSyncReply>(transport_, stores_.address(), MessageKind::edge_sync, sync, kTimeout,
@@ -60,7 +60,7 @@
     void acceptOne(bool granted, const std::function<void()>& done) {
         AcceptMessageRequest request;
         request.edge = "edge-0";
-        request.edge_address = transport_.self();
+        request.edge_address = transport_.address();
         request.epoch = 1;
         request.content.id = "9c41d07be2a3" + std::to_string(next_++);
         request.content.order_scope = "host/plain/";
@@ -90,7 +90,7 @@
         ++granted_;
         RunReport report;
         report.edge = "edge-0";
-        report.edge_address = transport_.self();
+        report.edge_address = transport_.address();
         RunResult result;
         result.id = id;
         result.epoch = reply->epoch;
--- a/src/cluster/common/event_loop.cpp
+++ b/src/cluster/common/event_loop.cpp
@@ -27,7 +27,7 @@
     return value;
 }
 
-EventBaseHandle makeBase() {
+EventBaseHandle createEventBase() {
     evthread_use_pthreads();
     const std::unique_ptr<event_config, void (*)(event_config*)> config(event_config_new(),
                                                                         event_config_free);
@@ -61,8 +61,8 @@
     }
 
     void fire() {
-        const Micros left = due_ - loop_.now();
-        if (left > Micros(0)) return arm(left);
+        const Micros remaining = due_ - loop_.now();
+        if (remaining > Micros(0)) return arm(remaining);
         EventLoop& loop = loop_;
         const std::function<void()> work = std::move(work_);  // it may destroy this timer
         loop.guard(work);
@@ -87,7 +87,7 @@
     }
 };
 
-EventLoop::EventLoop() : base_(makeBase()) {
+EventLoop::EventLoop() : base_(createEventBase()) {
     std::signal(SIGPIPE, SIG_IGN);
     posted_event_.reset(event_new(base_.get(), -1, 0, &EventLoop::onPosted, this));
     if (!posted_event_) throw std::runtime_error("event loop: no event for posted work");
@@ -123,12 +123,12 @@
 
 void EventLoop::run() {
     event_base_loop(base_.get(), EVLOOP_NO_EXIT_ON_EMPTY);
-    throwCaught();
+    rethrowPending();
 }
 
 void EventLoop::runOnce() {
     event_base_loop(base_.get(), EVLOOP_ONCE | EVLOOP_NO_EXIT_ON_EMPTY);
-    throwCaught();
+    rethrowPending();
 }
 
 void EventLoop::stop() {
@@ -144,8 +144,8 @@
     signal_handlers_.push_back(std::move(handler));
 }
 
-void EventLoop::keep(const std::exception_ptr& exception) {
-    if (!caught_) caught_ = exception;
+void EventLoop::storeException(const std::exception_ptr& exception) {
+    if (!pending_exception_) pending_exception_ = exception;
     stop();
 }
 
@@ -162,8 +162,8 @@
     for (const auto& work : due) guard(work);
 }
 
-void EventLoop::throwCaught() {
-    if (caught_) std::rethrow_exception(std::exchange(caught_, nullptr));
+void EventLoop::rethrowPending() {
+    if (pending_exception_) std::rethrow_exception(std::exchange(pending_exception_, nullptr));
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/event_loop.hpp
+++ b/src/cluster/common/event_loop.hpp
@@ -54,7 +54,7 @@
         try {
             work();
         } catch (...) {
-            keep(std::current_exception());
+            storeException(std::current_exception());
         }
     }
 
@@ -65,13 +65,13 @@
 
     static void onPosted(evutil_socket_t, short, void* self);
     void runPosted();
-    void keep(const std::exception_ptr& exception);
-    void throwCaught();
+    void storeException(const std::exception_ptr& exception);
+    void rethrowPending();
 
     EventBaseHandle base_;
     EventHandle posted_event_;
     std::vector<std::unique_ptr<SignalHandler>> signal_handlers_;
-    std::exception_ptr caught_;
+    std::exception_ptr pending_exception_;
     std::mutex posted_mutex_;
     std::vector<std::function<void()>> posted_;
 };
--- a/src/cluster/common/evhttp_client.cpp
+++ b/src/cluster/common/evhttp_client.cpp
@@ -23,19 +23,19 @@
 
 constexpr Millis kConnectTimeout{300};
 constexpr Millis kDefaultKeepAlive{5000};
-constexpr Millis kLongestKeepAlive{60'000};
+constexpr Millis kMaxKeepAlive{60'000};
 constexpr Millis kKeepAliveMargin{500};
-constexpr int kKeepAliveMarginShare = 3;  // a third of a short time
-constexpr std::string_view kRequestId = "Request-Id";
+constexpr int kKeepAliveMarginDivisor = 3;  // a third of a short time
+constexpr std::string_view kRequestIdHeader = "Request-Id";
 constexpr ev_ssize_t kMaxHeaderBytes = 64 * 1024;
 constexpr ev_ssize_t kMaxBodyBytes = 64 * 1024 * 1024;
 constexpr int kFirstFinalStatus = 200;
-constexpr std::size_t kIdsKept = 16;             // of what a connection carried
-constexpr std::size_t kMostAnswersDropped = 16;  // for one call; a server that sends more is broken
-constexpr int kLogIntervalS = 10;
+constexpr std::size_t kMaxCarriedIds = 16;        // of what a connection carried
+constexpr std::size_t kMaxDroppedResponses = 16;  // for one call; a server that sends more is broken
+constexpr int kLogIntervalSeconds = 10;
 
 // The time for which the server keeps an idle connection.
-Millis keepAlive(const HttpHeaders& headers) {
+Millis keepAliveTimeout(const HttpHeaders& headers) {
     constexpr std::string_view kTimeout = "timeout=";
     const std::string_view value = headerValue(headers, "Keep-Alive");
     const std::size_t found = value.find(kTimeout);
@@ -45,25 +45,25 @@
     if (std::from_chars(number.data(), number.data() + number.size(), seconds).ec != std::errc()) {
         return kDefaultKeepAlive;
     }
-    return std::min<Millis>(std::chrono::seconds(seconds), kLongestKeepAlive);
+    return std::min<Millis>(std::chrono::seconds(seconds), kMaxKeepAlive);
 }
 
 bool isRequest(const HttpRequest& request) {
-    return methodByName(request.method).has_value() && isTarget(request.target);
+    return methodByName(request.method).has_value() && isValidTarget(request.target);
 }
 
-bool hasCarried(const std::deque<std::string>& ids, const std::string& id) {
+bool hasCarriedId(const std::deque<std::string>& ids, const std::string& id) {
     return !id.empty() && std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-void noteCarried(std::deque<std::string>& ids, const std::string& id) {
+void recordCarriedId(std::deque<std::string>& ids, const std::string& id) {
     if (id.empty()) return;
     ids.push_back(id);
-    if (ids.size() > kIdsKept) ids.pop_front();
+    if (ids.size() > kMaxCarriedIds) ids.pop_front();
 }
 
 // Whether nothing arrived on an idle connection: no stray bytes, no end and no error.
-bool isQuiet(evhttp_connection* handle) {
+bool isReusable(evhttp_connection* handle) {
     bufferevent* stream = evhttp_connection_get_bufferevent(handle);
     const evutil_socket_t socket = bufferevent_getfd(stream);
     if (socket < 0 || evbuffer_get_length(bufferevent_get_input(stream)) > 0) return false;
@@ -72,12 +72,12 @@
 }
 
 // What was read of the connection and is no part of the response that was handed over last.
-std::size_t bytesBehind(evhttp_connection* handle) {
+std::size_t unreadBytes(evhttp_connection* handle) {
     return evbuffer_get_length(bufferevent_get_input(evhttp_connection_get_bufferevent(handle)));
 }
 
 // Whether the bytes that were read and not used hold this id, as an answer to its call would.
-bool holdsId(evhttp_connection* handle, const std::string& id) {
+bool unreadInputContains(evhttp_connection* handle, const std::string& id) {
     evbuffer* const input = bufferevent_get_input(evhttp_connection_get_bufferevent(handle));
     return evbuffer_search(input, id.data(), id.size(), nullptr).pos >= 0;
 }
@@ -113,42 +113,43 @@
 }
 
 void EvhttpClient::send(HttpCall call, std::function<void(HttpOutcome)> done) {
-    if (!isRequest(call.request)) return refuse(std::move(done));
-    const std::string request_id(headerValue(call.request.headers, kRequestId));
-    if (Connection* idle = takeIdle(call.to, request_id))
-        return start(*idle, std::move(call), std::move(done));
-    if (connectionsTo(call.to) >= call.max_connections) retireOldestIdle(call.to);
-    if (connectionsTo(call.to) >= call.max_connections) return refuse(std::move(done));
-    Connection& fresh = open(call.to);
-    start(fresh, std::move(call), std::move(done));
+    if (!isRequest(call.request)) return rejectCall(std::move(done));
+    const std::string request_id(headerValue(call.request.headers, kRequestIdHeader));
+    if (Connection* idle = takeIdleConnection(call.to, request_id))
+        return startExchange(*idle, std::move(call), std::move(done));
+    if (connectionCount(call.to) >= call.max_connections) retireOldestIdleConnection(call.to);
+    if (connectionCount(call.to) >= call.max_connections) return rejectCall(std::move(done));
+    Connection& fresh = openConnection(call.to);
+    startExchange(fresh, std::move(call), std::move(done));
 }
 
-void EvhttpClient::refuse(std::function<void(HttpOutcome)> done) {
+void EvhttpClient::rejectCall(std::function<void(HttpOutcome)> done) {
     loop_.post([done = std::move(done)] { done(HttpOutcome{Verdict::not_executed, false, false, {}}); });
 }
 
-std::size_t EvhttpClient::connectionsTo(const NodeAddress& address) const {
+std::size_t EvhttpClient::connectionCount(const NodeAddress& address) const {
     const auto found = pools_.find(address);
     return found == pools_.end() ? 0 : found->second.connections.size();
 }
 
-void EvhttpClient::forget(const NodeAddress& address) {
+void EvhttpClient::drainConnections(const NodeAddress& address) {
     const auto found = pools_.find(address);
     if (found == pools_.end()) return;
-    for (const auto& connection : found->second.connections) connection->forgotten = true;
+    for (const auto& connection : found->second.connections) connection->close_after_response = true;
     const std::vector<Connection*> idle = found->second.idle;
     for (Connection* connection : idle) retire(*connection);
 }
 
-EvhttpClient::Connection* EvhttpClient::takeIdle(const NodeAddress& address, const std::string& request_id) {
+EvhttpClient::Connection* EvhttpClient::takeIdleConnection(const NodeAddress& address,
+                                                           const std::string& request_id) {
     const auto found = pools_.find(address);
     if (found == pools_.end()) return nullptr;
     const std::vector<Connection*>& idle = found->second.idle;
     const std::vector<Connection*> newest_first(idle.rbegin(), idle.rend());
     for (Connection* connection : newest_first) {
-        if (!isQuiet(connection->handle.get())) {
+        if (!isReusable(connection->handle.get())) {
             retire(*connection);  // may free the pool
-        } else if (!hasCarried(connection->carried_ids, request_id)) {
+        } else if (!hasCarriedId(connection->carried_ids, request_id)) {
             std::erase(pools_.at(address).idle, connection);
             return connection;
         }
@@ -156,12 +157,12 @@
     return nullptr;
 }
 
-void EvhttpClient::retireOldestIdle(const NodeAddress& address) {
+void EvhttpClient::retireOldestIdleConnection(const NodeAddress& address) {
     const auto found = pools_.find(address);
     if (found != pools_.end() && !found->second.idle.empty()) retire(*found->second.idle.front());
 }
 
-EvhttpClient::Connection& EvhttpClient::open(const NodeAddress& address) {
+EvhttpClient::Connection& EvhttpClient::openConnection(const NodeAddress& address) {
     evhttp_connection* handle =
         evhttp_connection_base_new(loop_.base(), nullptr, address.ip.c_str(), address.port);
     if (handle == nullptr) throw std::runtime_error("HTTP client: no memory for a connection");
@@ -177,20 +178,22 @@
     return *pools_[address].connections.emplace_back(std::move(connection));
 }
 
-void EvhttpClient::start(Connection& connection, HttpCall call, std::function<void(HttpOutcome)> done) {
-    const std::string request_id(headerValue(call.request.headers, kRequestId));
-    noteCarried(connection.carried_ids, request_id);
+void EvhttpClient::startExchange(Connection& connection, HttpCall call,
+                                 std::function<void(HttpOutcome)> done) {
+    const std::string request_id(headerValue(call.request.headers, kRequestIdHeader));
+    recordCarriedId(connection.carried_ids, request_id);
     ++connection.calls;
     connection.exchange = Exchange{std::move(done), request_id, *methodByName(call.request.method), 0,
                                    loop_.now() + call.timeout};
-    const Millis first_wait = connection.connected ? call.timeout : std::min(call.timeout, kConnectTimeout);
-    connection.timer = loop_.after(first_wait, [this, &connection] { timedOut(connection); });
-    sending_ = true;
-    handOver(connection, call.request);
-    sending_ = false;
+    const Millis initial_timeout =
+        connection.connected ? call.timeout : std::min(call.timeout, kConnectTimeout);
+    connection.timer = loop_.after(initial_timeout, [this, &connection] { handleTimeout(connection); });
+    in_send_ = true;
+    sendRequest(connection, call.request);
+    in_send_ = false;
 }
 
-void EvhttpClient::handOver(Connection& connection, const HttpRequest& request) {
+void EvhttpClient::sendRequest(Connection& connection, const HttpRequest& request) {
     evhttp_request* message = evhttp_request_new(&EvhttpClient::onResponse, &connection);
     if (message == nullptr) throw std::runtime_error("HTTP client: no memory for a request");
     try {
@@ -198,98 +201,98 @@
     } catch (const std::invalid_argument&) {
         evhttp_request_free(message);
         retire(connection);
-        return finish(connection, HttpOutcome{Verdict::not_executed, false, false, {}});
+        return finishExchange(connection, HttpOutcome{Verdict::not_executed, false, false, {}});
     }
     evkeyvalq* headers = evhttp_request_get_output_headers(message);
     if (!request.body.empty() && evhttp_find_header(headers, "Content-Length") == nullptr) {
         evhttp_add_header(headers, "Content-Length", std::to_string(request.body.size()).c_str());
     }
     evbuffer_add(evhttp_request_get_output_buffer(message), request.body.data(), request.body.size());
-    const bool taken = evhttp_make_request(connection.handle.get(), message, connection.exchange->method,
-                                           request.target.c_str()) == 0;
-    if (!taken && connection.exchange) return failed(connection);
-    if (connection.connected) writeSoon(evhttp_connection_get_bufferevent(connection.handle.get()));
+    const bool is_accepted = evhttp_make_request(connection.handle.get(), message,
+                                                 connection.exchange->method, request.target.c_str()) == 0;
+    if (!is_accepted && connection.exchange) return failExchange(connection);
+    if (connection.connected) scheduleWrite(evhttp_connection_get_bufferevent(connection.handle.get()));
 }
 
 // The request is written into the stream of a new connection as soon as it is connected.
 void EvhttpClient::onOutput(evbuffer*, const evbuffer_cb_info* info, void* connection) {
     auto* target = static_cast<Connection*>(connection);
-    if (info->n_added > 0 && !target->connected) target->client.connected(*target);
+    if (info->n_added > 0 && !target->connected) target->client.handleConnected(*target);
 }
 
-void EvhttpClient::connected(Connection& connection) {
+void EvhttpClient::handleConnected(Connection& connection) {
     connection.connected = true;
     setNoDelay(bufferevent_getfd(evhttp_connection_get_bufferevent(connection.handle.get())));
     if (!connection.exchange) return;
-    const auto left = std::chrono::ceil<Millis>(connection.exchange->deadline - loop_.now());
-    connection.timer = loop_.after(left, [this, &connection] { timedOut(connection); });
+    const auto remaining = std::chrono::ceil<Millis>(connection.exchange->deadline - loop_.now());
+    connection.timer = loop_.after(remaining, [this, &connection] { handleTimeout(connection); });
 }
 
-void EvhttpClient::timedOut(Connection& connection) {
-    if (!connection.connected) return failed(connection);
-    checkNothingDropped(connection);
+void EvhttpClient::handleTimeout(Connection& connection) {
+    if (!connection.connected) return failExchange(connection);
+    checkOwnResponseNotDropped(connection);
     retire(connection);
-    finish(connection, HttpOutcome{Verdict::unknown, false, true, {}});
+    finishExchange(connection, HttpOutcome{Verdict::unknown, false, true, {}});
 }
 
 void EvhttpClient::onResponse(evhttp_request* response, void* connection) {
     auto* target = static_cast<Connection*>(connection);
     EvhttpClient& client = target->client;
-    client.loop_.guard([&] { client.respond(*target, response); });
+    client.loop_.guard([&] { client.handleResponse(*target, response); });
 }
 
 // evhttp gives no message where a connection broke, and a status of 0 where none could be made.
-void EvhttpClient::respond(Connection& connection, evhttp_request* response) {
+void EvhttpClient::handleResponse(Connection& connection, evhttp_request* response) {
     if (!connection.exchange) return;
     const int status = response == nullptr ? 0 : evhttp_request_get_response_code(response);
-    if (status == 0) return failed(connection);
+    if (status == 0) return failExchange(connection);
     HttpResponse answer{status, readHeaders(response), takeBody(response), false};
-    if (!isOwn(connection, answer)) return skip(connection, answer);
-    if (!hasClearEnd(answer.headers)) {
+    if (!isResponseToOpenCall(connection, answer)) return discardResponse(connection, answer);
+    if (!hasUnambiguousFraming(answer.headers)) {
         ++counters_.answers_without_end;
-        return failed(connection);
+        return failExchange(connection);
     }
-    const bool more_behind = bytesBehind(connection.handle.get()) > 0;
-    if (more_behind && connection.exchange->request_id.empty() && connection.calls > 1) {
+    const bool has_unread_bytes = unreadBytes(connection.handle.get()) > 0;
+    if (has_unread_bytes && connection.exchange->request_id.empty() && connection.calls > 1) {
         ++counters_.answers_ambiguous;
-        return failed(connection);
+        return failExchange(connection);
     }
-    if (connection.exchange->answers_dropped > 0) ++counters_.own_answers_behind_others;
+    if (connection.exchange->dropped_responses > 0) ++counters_.own_answers_behind_others;
     answer.close = bufferevent_getfd(evhttp_connection_get_bufferevent(connection.handle.get())) < 0;
-    if (answer.close || connection.forgotten || more_behind) {
+    if (answer.close || connection.close_after_response || has_unread_bytes) {
         retire(connection);
     } else {
-        keep(connection, answer.headers);
+        returnToPool(connection, answer.headers);
     }
-    finish(connection, HttpOutcome{Verdict::answered, false, false, std::move(answer)});
+    finishExchange(connection, HttpOutcome{Verdict::answered, false, false, std::move(answer)});
 }
 
-bool EvhttpClient::isOwn(const Connection& connection, const HttpResponse& answer) {
+bool EvhttpClient::isResponseToOpenCall(const Connection& connection, const HttpResponse& answer) {
     if (answer.status < kFirstFinalStatus) return false;
     const std::string& expected = connection.exchange->request_id;
-    return expected.empty() || headerValue(answer.headers, kRequestId) == expected;
+    return expected.empty() || headerValue(answer.headers, kRequestIdHeader) == expected;
 }
 
-void EvhttpClient::skip(Connection& connection, const HttpResponse& answer) {
-    noteSkipped(connection, answer);
-    if (answer.status >= kFirstFinalStatus) connection.forgotten = true;
-    if (++connection.exchange->answers_dropped > kMostAnswersDropped) {
+void EvhttpClient::discardResponse(Connection& connection, const HttpResponse& answer) {
+    recordDiscarded(connection, answer);
+    if (answer.status >= kFirstFinalStatus) connection.close_after_response = true;
+    if (++connection.exchange->dropped_responses > kMaxDroppedResponses) {
         ++counters_.too_many_others;
-        return failed(connection);
+        return failExchange(connection);
     }
     evhttp_connection* const handle = connection.handle.get();
-    if (bufferevent_getfd(evhttp_connection_get_bufferevent(handle)) < 0) return failed(connection);
+    if (bufferevent_getfd(evhttp_connection_get_bufferevent(handle)) < 0) return failExchange(connection);
     evhttp_request* const message = evhttp_request_new(&EvhttpClient::onResponse, &connection);
     if (message == nullptr) throw std::runtime_error("HTTP client: no memory for a request");
-    if (!readNextResponse(handle, message, connection.exchange->method)) failed(connection);
+    if (!readNextResponse(handle, message, connection.exchange->method)) failExchange(connection);
 }
 
-void EvhttpClient::noteSkipped(const Connection& connection, const HttpResponse& answer) {
+void EvhttpClient::recordDiscarded(const Connection& connection, const HttpResponse& answer) {
     const std::string& expected = connection.exchange->request_id;
-    const std::string id(headerValue(answer.headers, kRequestId));
-    const bool is_earlier = id != expected && hasCarried(connection.carried_ids, id);
-    const std::size_t behind = bytesBehind(connection.handle.get());
-    if (behind > 0) ++counters_.dropped_with_more_behind;
+    const std::string id(headerValue(answer.headers, kRequestIdHeader));
+    const bool is_earlier = id != expected && hasCarriedId(connection.carried_ids, id);
+    const std::size_t unread_bytes = unreadBytes(connection.handle.get());
+    if (unread_bytes > 0) ++counters_.dropped_with_more_behind;
     if (answer.status < kFirstFinalStatus) {
         ++counters_.answers_not_final;
         return;
@@ -299,48 +302,48 @@
     } else {
         ++(is_earlier ? counters_.answers_of_earlier_calls : counters_.answers_of_unknown_calls);
     }
-    LOG_EVERY_T(WARNING, kLogIntervalS)
+    LOG_EVERY_T(WARNING, kLogIntervalSeconds)
         << "an answer of " << connection.to.text() << " with status " << answer.status << " and id '" << id
         << "' is not that of call '" << expected << "'" << (is_earlier ? ", but an earlier call's" : "")
-        << "; " << behind << " bytes behind it, call " << connection.calls << " on its connection";
+        << "; " << unread_bytes << " bytes behind it, call " << connection.calls << " on its connection";
 }
 
-void EvhttpClient::checkNothingDropped(const Connection& connection) {
+void EvhttpClient::checkOwnResponseNotDropped(const Connection& connection) {
     const std::string& id = connection.exchange->request_id;
     if (id.empty()) return;
-    checkInvariant(Invariant::own_answer_is_taken, !holdsId(connection.handle.get(), id),
+    checkInvariant(Invariant::own_answer_is_taken, !unreadInputContains(connection.handle.get(), id),
                    "call " + id + " to " + connection.to.text());
 }
 
-void EvhttpClient::failed(Connection& connection) {
+void EvhttpClient::failExchange(Connection& connection) {
     const bool connected = connection.connected;
-    checkNothingDropped(connection);
+    checkOwnResponseNotDropped(connection);
     retire(connection);
-    finish(connection,
-           HttpOutcome{connected ? Verdict::unknown : Verdict::not_executed, !connected, false, {}});
+    finishExchange(connection,
+                   HttpOutcome{connected ? Verdict::unknown : Verdict::not_executed, !connected, false, {}});
 }
 
-void EvhttpClient::keep(Connection& connection, const HttpHeaders& headers) {
-    const Millis kept = keepAlive(headers);
-    const Millis margin = std::min(kKeepAliveMargin, kept / kKeepAliveMarginShare);
+void EvhttpClient::returnToPool(Connection& connection, const HttpHeaders& headers) {
+    const Millis kept = keepAliveTimeout(headers);
+    const Millis margin = std::min(kKeepAliveMargin, kept / kKeepAliveMarginDivisor);
     connection.timer = loop_.after(kept - margin, [this, &connection] { retire(connection); });
     pools_.at(connection.to).idle.push_back(&connection);
 }
 
-void EvhttpClient::finish(Connection& connection, HttpOutcome outcome) {
+void EvhttpClient::finishExchange(Connection& connection, HttpOutcome outcome) {
     std::function<void(HttpOutcome)> done = std::move(connection.exchange->done);
     connection.exchange.reset();
-    if (!sending_) return done(std::move(outcome));
+    if (!in_send_) return done(std::move(outcome));
     loop_.post([done = std::move(done), outcome = std::move(outcome)] { done(outcome); });
 }
 
 void EvhttpClient::onClosed(evhttp_connection*, void* connection) {
     auto* target = static_cast<Connection*>(connection);
-    target->client.closed(*target);
+    target->client.handleClosed(*target);
 }
 
 // The end of a connection that carries a request is told by its response.
-void EvhttpClient::closed(Connection& connection) {
+void EvhttpClient::handleClosed(Connection& connection) {
     if (!connection.exchange) retire(connection);
 }
 
--- a/src/cluster/common/evhttp_client.hpp
+++ b/src/cluster/common/evhttp_client.hpp
@@ -58,9 +58,9 @@
 
     // A call that cannot be put into a request (method, target or a header) is not_executed.
     void send(HttpCall call, std::function<void(HttpOutcome)> done) override;
-    std::size_t connectionsTo(const NodeAddress& address) const override;
+    std::size_t connectionCount(const NodeAddress& address) const override;
     // Connections that are in use close after their answer.
-    void forget(const NodeAddress& address) override;
+    void drainConnections(const NodeAddress& address) override;
 
     const HttpClientCounters& counters() const { return counters_; }
 
@@ -69,7 +69,7 @@
         std::function<void(HttpOutcome)> done;
         std::string request_id;  // empty: its answer needs none
         evhttp_cmd_type method = EVHTTP_REQ_GET;
-        std::size_t answers_dropped = 0;
+        std::size_t dropped_responses = 0;
         SteadyTime deadline;
     };
     struct Connection {
@@ -78,7 +78,7 @@
         std::unique_ptr<evhttp_connection, HttpConnectionDeleter> handle;
         std::optional<Exchange> exchange = {};  // the request that it carries; none while idle
         bool connected = false;
-        bool forgotten = false;
+        bool close_after_response = false;
         std::uint64_t calls = 0;                   // that it has carried, with the one that is open
         std::deque<std::string> carried_ids = {};  // of the latest of them, newest last
         TimerHandle timer = {};                    // of the request, or of the idle time
@@ -93,27 +93,27 @@
     static void onOutput(evbuffer* output, const evbuffer_cb_info* info, void* connection);
     static void onReap(evutil_socket_t, short, void* self);
 
-    Connection* takeIdle(const NodeAddress& address, const std::string& request_id);
+    Connection* takeIdleConnection(const NodeAddress& address, const std::string& request_id);
     // Makes room where every idle connection has carried this id.
-    void retireOldestIdle(const NodeAddress& address);
-    Connection& open(const NodeAddress& address);
-    void start(Connection& connection, HttpCall call, std::function<void(HttpOutcome)> done);
-    void handOver(Connection& connection, const HttpRequest& request);
-    void refuse(std::function<void(HttpOutcome)> done);
-    void respond(Connection& connection, evhttp_request* response);
+    void retireOldestIdleConnection(const NodeAddress& address);
+    Connection& openConnection(const NodeAddress& address);
+    void startExchange(Connection& connection, HttpCall call, std::function<void(HttpOutcome)> done);
+    void sendRequest(Connection& connection, const HttpRequest& request);
+    void rejectCall(std::function<void(HttpOutcome)> done);
+    void handleResponse(Connection& connection, evhttp_request* response);
     // Whether the answer says what became of the open call.
-    static bool isOwn(const Connection& connection, const HttpResponse& answer);
+    static bool isResponseToOpenCall(const Connection& connection, const HttpResponse& answer);
     // Drops an answer that is not the open call's, and reads the next one.
-    void skip(Connection& connection, const HttpResponse& answer);
+    void discardResponse(Connection& connection, const HttpResponse& answer);
     // A call whose outcome is unknown has no answer of its own among what was read.
-    static void checkNothingDropped(const Connection& connection);
-    void noteSkipped(const Connection& connection, const HttpResponse& answer);
-    void connected(Connection& connection);
-    void timedOut(Connection& connection);
-    void failed(Connection& connection);
-    void finish(Connection& connection, HttpOutcome outcome);
-    void keep(Connection& connection, const HttpHeaders& headers);
-    void closed(Connection& connection);
+    static void checkOwnResponseNotDropped(const Connection& connection);
+    void recordDiscarded(const Connection& connection, const HttpResponse& answer);
+    void handleConnected(Connection& connection);
+    void handleTimeout(Connection& connection);
+    void failExchange(Connection& connection);
+    void finishExchange(Connection& connection, HttpOutcome outcome);
+    void returnToPool(Connection& connection, const HttpHeaders& headers);
+    void handleClosed(Connection& connection);
     void retire(Connection& connection);
 
     EventLoop& loop_;
@@ -121,7 +121,7 @@
     std::vector<std::unique_ptr<Connection>> retired_;  // freed outside evhttp's callbacks
     EventHandle reap_event_;
     HttpClientCounters counters_;
-    bool sending_ = false;
+    bool in_send_ = false;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/evhttp_message.cpp
+++ b/src/cluster/common/evhttp_message.cpp
@@ -30,26 +30,26 @@
     {EVHTTP_REQ_TRACE, "TRACE"},
 }};
 
-bool isSame(const std::string& text, const char* other) {
+bool equalsIgnoringCase(const std::string& text, const char* other) {
     return evutil_ascii_strcasecmp(text.c_str(), other) == 0;
 }
 
-bool isDigit(char letter) {
-    return letter >= '0' && letter <= '9';
+bool isDigit(char character) {
+    return character >= '0' && character <= '9';
 }
 
 // RFC 9110: what a header name is made of.
-bool isTokenCharacter(char letter) {
-    constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-    const bool is_letter = (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z');
-    return is_letter || isDigit(letter) || kMarks.find(letter) != std::string_view::npos;
+bool isTokenCharacter(char character) {
+    constexpr std::string_view kSymbols = "!#$%&'*+-.^_`|~";
+    const bool is_letter = (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z');
+    return is_letter || isDigit(character) || kSymbols.find(character) != std::string_view::npos;
 }
 
 bool isToken(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), isTokenCharacter);
 }
 
-bool isNumber(std::string_view text) {
+bool isDecimalNumber(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), isDigit);
 }
 
@@ -94,29 +94,29 @@
     }
 }
 
-bool isTarget(std::string_view target) {
+bool isValidTarget(std::string_view target) {
     constexpr unsigned char kDelete = 0x7f;
-    const auto is_safe = [](char letter) {
-        const auto code = static_cast<unsigned char>(letter);
+    const auto is_safe = [](char character) {
+        const auto code = static_cast<unsigned char>(character);
         return code > ' ' && code != kDelete;
     };
     return !target.empty() && std::all_of(target.begin(), target.end(), is_safe);
 }
 
-bool hasClearEnd(const HttpHeaders& headers) {
+bool hasUnambiguousFraming(const HttpHeaders& headers) {
     std::size_t ends = 0;
     for (const HttpHeader& header : headers) {
         if (!isToken(header.name)) return false;
-        const bool is_length = isSame(header.name, kContentLength);
-        const bool is_coding = isSame(header.name, kTransferEncoding);
-        if (is_length && !isNumber(header.value)) return false;
-        if (is_coding && !isSame(header.value, "chunked")) return false;
+        const bool is_length = equalsIgnoringCase(header.name, kContentLength);
+        const bool is_coding = equalsIgnoringCase(header.name, kTransferEncoding);
+        if (is_length && !isDecimalNumber(header.value)) return false;
+        if (is_coding && !equalsIgnoringCase(header.value, "chunked")) return false;
         if (is_length || is_coding) ++ends;
     }
     return ends <= 1;
 }
 
-bool statesBody(const HttpHeaders& headers) {
+bool declaresBody(const HttpHeaders& headers) {
     const std::string_view length = headerValue(headers, kContentLength);
     const bool is_chunked = !headerValue(headers, kTransferEncoding).empty();
     return is_chunked || (!length.empty() && length != "0");
--- a/src/cluster/common/evhttp_message.hpp
+++ b/src/cluster/common/evhttp_message.hpp
@@ -28,14 +28,14 @@
 void writeHeaders(evhttp_request* message, const HttpHeaders& headers);
 
 // A path and query, or `*`, that is safe on a request line: not empty, no spaces and no control characters.
-bool isTarget(std::string_view target);
+bool isValidTarget(std::string_view target);
 
 // Whether nobody could read another end of the message out of its header than evhttp did: names are tokens,
 // there is one Content-Length that is a number, or one Transfer-Encoding that is `chunked` alone, or none of
 // both.
-bool hasClearEnd(const HttpHeaders& headers);
+bool hasUnambiguousFraming(const HttpHeaders& headers);
 
 // Whether the header announces a body.
-bool statesBody(const HttpHeaders& headers);
+bool declaresBody(const HttpHeaders& headers);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/evhttp_server.cpp
+++ b/src/cluster/common/evhttp_server.cpp
@@ -21,8 +21,8 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 constexpr int kInternalError = 500;
-constexpr Millis kShortestSweep{100};
-constexpr int kSweepsPerHeaderTimeout = 4;
+constexpr Millis kMinHeaderCheckInterval{100};
+constexpr int kHeaderChecksPerTimeout = 4;
 constexpr std::string_view kNotImplemented =
     "HTTP/1.1 501 Not Implemented\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
@@ -36,18 +36,18 @@
 }
 
 // Of a request: evhttp takes what follows the header of any other one for the next request.
-bool mayHaveBody(evhttp_cmd_type method) {
+bool isRequestBodyRead(evhttp_cmd_type method) {
     return method != EVHTTP_REQ_HEAD && method != EVHTTP_REQ_TRACE;
 }
 
-bool hasBody(evhttp_request* request, int status) {
+bool isResponseBodySent(evhttp_request* request, int status) {
     const bool is_head = evhttp_request_get_command(request) == EVHTTP_REQ_HEAD;
     return !is_head && status != kNoContent && status != kNotModified;
 }
 
 // Whether the bytes received of a header hold its end. evhttp takes whole lines out of the input at once, so
 // the input begins at the start of a line.
-bool holdsHeaderEnd(evbuffer* input) {
+bool containsHeaderEnd(evbuffer* input) {
     std::array<char, 2> first{};
     const ev_ssize_t copied = evbuffer_copyout(input, first.data(), first.size());
     if (copied > 0 && first[0] == '\n') return true;
@@ -60,7 +60,7 @@
 
 // Whether the first bytes of a request can still be a method that is served. evhttp would answer any other
 // one with a status of 0.
-bool mayBeMethod(evbuffer* input) {
+bool mayBeServedMethod(evbuffer* input) {
     std::array<char, 8> first{};
     const ev_ssize_t copied = evbuffer_copyout(input, first.data(), first.size());
     const std::string_view start(first.data(), static_cast<std::size_t>(std::max<ev_ssize_t>(copied, 0)));
@@ -81,15 +81,15 @@
 struct EvhttpServer::Connection {
     EvhttpServer& server;
     bufferevent* stream;
-    std::shared_ptr<Exchange> exchange;           // from the request until its answer is written
-    std::optional<SteadyTime> header_since = {};  // the header is being received
+    std::shared_ptr<Exchange> exchange;             // from the request until its answer is written
+    std::optional<SteadyTime> header_started = {};  // the header is being received
     bool in_request = false;  // from the first byte of a request until its answer is written
 };
 
 EvhttpServer::EvhttpServer(EventLoop& loop, const NodeAddress& bind, HttpHandler handler)
     : loop_(loop), handler_(std::move(handler)), http_(evhttp_new(loop.base())) {
-    claim_event_.reset(event_new(loop.base(), -1, 0, &EvhttpServer::onClaim, this));
-    if (!http_ || !claim_event_) throw SocketError(bind, "no memory for the HTTP server");
+    register_event_.reset(event_new(loop.base(), -1, 0, &EvhttpServer::onRegister, this));
+    if (!http_ || !register_event_) throw SocketError(bind, "no memory for the HTTP server");
     evhttp_set_allowed_methods(http_.get(), kServedMethods);
     evhttp_set_default_content_type(http_.get(), nullptr);
     evhttp_set_flags(http_.get(), EVHTTP_SERVER_LINGERING_CLOSE);
@@ -121,8 +121,8 @@
     if (listener_ != nullptr) evhttp_del_accept_socket(http_.get(), std::exchange(listener_, nullptr));
 }
 
-void EvhttpServer::startClosing() {
-    closing_ = true;
+void EvhttpServer::startDraining() {
+    draining_ = true;
 }
 
 // evhttp tells of a new connection only by asking for its stream. What belongs to it is known right after
@@ -133,24 +133,24 @@
     if (stream == nullptr) return nullptr;
     bufferevent_incref(stream);
     server->accepted_.push_back(stream);
-    event_active(server->claim_event_.get(), EV_TIMEOUT, 0);
+    event_active(server->register_event_.get(), EV_TIMEOUT, 0);
     return stream;
 }
 
-void EvhttpServer::onClaim(evutil_socket_t, short, void* self) {
+void EvhttpServer::onRegister(evutil_socket_t, short, void* self) {
     auto* server = static_cast<EvhttpServer*>(self);
-    server->loop_.guard([server] { server->claimAccepted(); });
+    server->loop_.guard([server] { server->registerAccepted(); });
 }
 
-void EvhttpServer::claimAccepted() {
+void EvhttpServer::registerAccepted() {
     const std::vector<bufferevent*> accepted = std::exchange(accepted_, {});
     for (bufferevent* stream : accepted) {
-        claim(stream);
+        registerConnection(stream);
         bufferevent_decref(stream);
     }
 }
 
-void EvhttpServer::claim(bufferevent* stream) {
+void EvhttpServer::registerConnection(bufferevent* stream) {
     void* owner = nullptr;
     bufferevent_getcb(stream, nullptr, nullptr, nullptr, &owner);
     if (owner == nullptr) return;  // closed already
@@ -166,74 +166,74 @@
     if (info->n_added == 0) return;
     auto* target = static_cast<Connection*>(connection);
     EvhttpServer& server = target->server;
-    server.loop_.guard([&] { server.received(*target, input); });
+    server.loop_.guard([&] { server.handleInput(*target, input); });
 }
 
-void EvhttpServer::received(Connection& connection, evbuffer* input) {
+void EvhttpServer::handleInput(Connection& connection, evbuffer* input) {
     if (!connection.in_request) {
         connection.in_request = true;
-        connection.header_since = loop_.now();
-        if (!mayBeMethod(input)) {
+        connection.header_started = loop_.now();
+        if (!mayBeServedMethod(input)) {
             const evutil_socket_t socket = bufferevent_getfd(connection.stream);
             send(socket, kNotImplemented.data(), kNotImplemented.size(), MSG_NOSIGNAL);
             shutdown(socket, SHUT_RDWR);
             return;
         }
     }
-    if (!connection.header_since) return;
-    if (holdsHeaderEnd(input)) {
-        connection.header_since.reset();
+    if (!connection.header_started) return;
+    if (containsHeaderEnd(input)) {
+        connection.header_started.reset();
     } else {
-        armSweep();
+        scheduleHeaderTimeoutCheck();
     }
 }
 
-void EvhttpServer::armSweep() {
-    if (sweep_timer_) return;
-    const Millis step = std::max(kShortestSweep, limits_.header_timeout / kSweepsPerHeaderTimeout);
-    sweep_timer_ = loop_.after(step, [this] { sweep(); });
+void EvhttpServer::scheduleHeaderTimeoutCheck() {
+    if (header_timeout_timer_) return;
+    const Millis step = std::max(kMinHeaderCheckInterval, limits_.header_timeout / kHeaderChecksPerTimeout);
+    header_timeout_timer_ = loop_.after(step, [this] { checkHeaderTimeouts(); });
 }
 
 // Ends the connections whose header takes too long: evhttp reads the end of the stream and closes them.
-void EvhttpServer::sweep() {
-    sweep_timer_.reset();
+void EvhttpServer::checkHeaderTimeouts() {
+    header_timeout_timer_.reset();
     const SteadyTime now = loop_.now();
     for (const auto& [handle, connection] : connections_) {
-        if (!connection->header_since) continue;
-        if (now - *connection->header_since >= limits_.header_timeout) {
+        if (!connection->header_started) continue;
+        if (now - *connection->header_started >= limits_.header_timeout) {
             shutdown(bufferevent_getfd(connection->stream), SHUT_RD);
-            connection->header_since.reset();
+            connection->header_started.reset();
         } else {
-            armSweep();
+            scheduleHeaderTimeoutCheck();
         }
     }
 }
 
 void EvhttpServer::onRequest(evhttp_request* request, void* self) {
     auto* server = static_cast<EvhttpServer*>(self);
-    server->loop_.guard([server, request] { server->handle(request); });
+    server->loop_.guard([server, request] { server->handleRequest(request); });
 }
 
-void EvhttpServer::handle(evhttp_request* request) {
+void EvhttpServer::handleRequest(evhttp_request* request) {
     Connection& connection = *connections_.at(evhttp_request_get_connection(request));
     const evhttp_cmd_type method = evhttp_request_get_command(request);
     HttpRequest received{
         std::string(methodName(method)), evhttp_request_get_uri(request), readHeaders(request), {}};
-    connection.header_since.reset();
-    const bool has_unread_body = !mayHaveBody(method) && statesBody(received.headers);
-    if (!isTarget(received.target) || !hasClearEnd(received.headers) || has_unread_body) {
+    connection.header_started.reset();
+    const bool has_unread_body = !isRequestBodyRead(method) && declaresBody(received.headers);
+    if (!isValidTarget(received.target) || !hasUnambiguousFraming(received.headers) || has_unread_body) {
         return evhttp_send_error(request, kBadRequest, nullptr);
     }
     received.body = takeBody(request);
     connection.exchange = std::make_shared<Exchange>(Exchange{this, &connection, request});
-    evhttp_request_set_on_complete_cb(request, &EvhttpServer::onAnswered, &connection);
+    evhttp_request_set_on_complete_cb(request, &EvhttpServer::onResponseSent, &connection);
     ++open_requests_;
     handler_(received, [exchange = connection.exchange](HttpResponse response) {
-        if (exchange->request != nullptr) exchange->server->answer(*exchange, response);
+        if (exchange->request != nullptr) exchange->server->sendResponse(*exchange, response);
     });
 }
 
-void EvhttpServer::answer(Exchange& exchange, const HttpResponse& response) {
+void EvhttpServer::sendResponse(Exchange& exchange, const HttpResponse& response) {
     evhttp_request* request = std::exchange(exchange.request, nullptr);
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     try {
@@ -245,40 +245,40 @@
     if (response.status != kNoContent && evhttp_find_header(headers, "Content-Length") == nullptr) {
         evhttp_add_header(headers, "Content-Length", std::to_string(response.body.size()).c_str());
     }
-    if (response.close || closing_) evhttp_add_header(headers, "Connection", "close");
-    if (hasBody(request, response.status)) {
+    if (response.close || draining_) evhttp_add_header(headers, "Connection", "close");
+    if (isResponseBodySent(request, response.status)) {
         evbuffer_add(evhttp_request_get_output_buffer(request), response.body.data(), response.body.size());
     }
     evhttp_send_reply(request, response.status, nullptr, nullptr);
-    writeSoon(exchange.connection->stream);
+    scheduleWrite(exchange.connection->stream);
 }
 
-void EvhttpServer::onAnswered(evhttp_request*, void* connection) {
+void EvhttpServer::onResponseSent(evhttp_request*, void* connection) {
     auto* target = static_cast<Connection*>(connection);
-    target->server.finish(*target);
+    target->server.finishExchange(*target);
 }
 
-void EvhttpServer::finish(Connection& connection) {
+void EvhttpServer::finishExchange(Connection& connection) {
     connection.exchange.reset();
     connection.in_request = false;
     --open_requests_;
     // The next request may have come already; its bytes were counted to this one.
     evbuffer* input = bufferevent_get_input(connection.stream);
-    if (evbuffer_get_length(input) > 0) received(connection, input);
+    if (evbuffer_get_length(input) > 0) handleInput(connection, input);
 }
 
 void EvhttpServer::onClosed(evhttp_connection* handle, void* self) {
-    static_cast<EvhttpServer*>(self)->closed(handle);
+    static_cast<EvhttpServer*>(self)->handleClosed(handle);
 }
 
-void EvhttpServer::closed(evhttp_connection* handle) {
+void EvhttpServer::handleClosed(evhttp_connection* handle) {
     const auto found = connections_.find(handle);
     if (found == connections_.end()) return;
     if (const std::shared_ptr<Exchange> exchange = found->second->exchange) {
         evhttp_request* unanswered = std::exchange(exchange->request, nullptr);
         // evhttp has let go of a request whose client left; it frees the others with their connection.
-        const bool is_ours = unanswered != nullptr && evhttp_request_get_connection(unanswered) == nullptr;
-        if (is_ours) evhttp_request_free(unanswered);
+        const bool must_free = unanswered != nullptr && evhttp_request_get_connection(unanswered) == nullptr;
+        if (must_free) evhttp_request_free(unanswered);
         --open_requests_;
     }
     connections_.erase(found);
--- a/src/cluster/common/evhttp_server.hpp
+++ b/src/cluster/common/evhttp_server.hpp
@@ -36,7 +36,7 @@
     // New connections are refused; those that are open stay.
     void stopListening();
     // Every later answer carries Connection: close.
-    void startClosing();
+    void startDraining();
     // Requests that were handed over and whose answer is not written yet.
     std::size_t openRequests() const { return open_requests_; }
     std::size_t connections() const { return connections_.size(); }
@@ -47,31 +47,31 @@
     struct Connection;
 
     static bufferevent* onAccept(event_base* base, void* self);
-    static void onClaim(evutil_socket_t, short, void* self);
+    static void onRegister(evutil_socket_t, short, void* self);
     static void onInput(evbuffer* input, const evbuffer_cb_info* info, void* connection);
     static void onRequest(evhttp_request* request, void* self);
-    static void onAnswered(evhttp_request* request, void* connection);
+    static void onResponseSent(evhttp_request* request, void* connection);
     static void onClosed(evhttp_connection* handle, void* self);
 
-    void claimAccepted();
-    void claim(bufferevent* stream);
-    void handle(evhttp_request* request);
-    void answer(Exchange& exchange, const HttpResponse& response);
-    void finish(Connection& connection);
-    void closed(evhttp_connection* handle);
-    void received(Connection& connection, evbuffer* input);
-    void armSweep();
-    void sweep();
+    void registerAccepted();
+    void registerConnection(bufferevent* stream);
+    void handleRequest(evhttp_request* request);
+    void sendResponse(Exchange& exchange, const HttpResponse& response);
+    void finishExchange(Connection& connection);
+    void handleClosed(evhttp_connection* handle);
+    void handleInput(Connection& connection, evbuffer* input);
+    void scheduleHeaderTimeoutCheck();
+    void checkHeaderTimeouts();
 
     EventLoop& loop_;
     HttpHandler handler_;
     NodeAddress address_;
     HttpLimits limits_;
-    bool closing_ = false;
+    bool draining_ = false;
     std::size_t open_requests_ = 0;
     std::vector<bufferevent*> accepted_;  // not claimed yet; each holds a reference
-    EventHandle claim_event_;
-    TimerHandle sweep_timer_;
+    EventHandle register_event_;
+    TimerHandle header_timeout_timer_;
     std::unordered_map<evhttp_connection*, std::unique_ptr<Connection>> connections_;
     std::unique_ptr<evhttp, EvhttpDeleter> http_;
     evhttp_bound_socket* listener_ = nullptr;
--- a/src/cluster/common/frame.cpp
+++ b/src/cluster/common/frame.cpp
@@ -15,11 +15,11 @@
 constexpr std::uint64_t kReplyFlag = 1;
 constexpr int kBitsPerByte = 8;
 
-void putNumber(char* to, std::uint64_t value, std::size_t bytes) {
+void writeBigEndian(char* to, std::uint64_t value, std::size_t bytes) {
     for (std::size_t index = bytes; index-- > 0; value >>= kBitsPerByte) to[index] = static_cast<char>(value);
 }
 
-std::uint64_t getNumber(const char* from, std::size_t bytes) {
+std::uint64_t readBigEndian(const char* from, std::size_t bytes) {
     std::uint64_t value = 0;
     for (std::size_t index = 0; index < bytes; ++index) {
         value = (value << kBitsPerByte) | static_cast<unsigned char>(from[index]);
@@ -31,25 +31,25 @@
 
 FramePrefix encodePrefix(const Frame& frame) {
     FramePrefix prefix;
-    putNumber(prefix.data(), kFrameHeadBytes + frame.body.size(), kFrameLengthBytes);
-    putNumber(prefix.data() + kIdOffset, frame.id, kIdBytes);
-    putNumber(prefix.data() + kKindOffset, frame.kind, kKindBytes);
-    putNumber(prefix.data() + kFlagsOffset, frame.reply ? kReplyFlag : 0, kFlagsBytes);
+    writeBigEndian(prefix.data(), kFrameHeaderBytes + frame.body.size(), kFrameLengthBytes);
+    writeBigEndian(prefix.data() + kIdOffset, frame.id, kIdBytes);
+    writeBigEndian(prefix.data() + kKindOffset, frame.kind, kKindBytes);
+    writeBigEndian(prefix.data() + kFlagsOffset, frame.is_reply ? kReplyFlag : 0, kFlagsBytes);
     return prefix;
 }
 
-FrameHead decodePrefix(std::string_view bytes) {
-    const std::uint64_t length = getNumber(bytes.data(), kFrameLengthBytes);
-    const std::uint64_t flags = getNumber(bytes.data() + kFlagsOffset, kFlagsBytes);
-    const bool has_length = length >= kFrameHeadBytes && length <= kMaxFrameBytes;
-    if (!has_length) throw BadFrame("length " + std::to_string(length));
-    if (flags > kReplyFlag) throw BadFrame("flags " + std::to_string(flags));
-    FrameHead head;
-    head.id = getNumber(bytes.data() + kIdOffset, kIdBytes);
-    head.kind = static_cast<std::uint16_t>(getNumber(bytes.data() + kKindOffset, kKindBytes));
-    head.reply = flags == kReplyFlag;
-    head.body_bytes = length - kFrameHeadBytes;
-    return head;
+FrameHeader decodePrefix(std::string_view bytes) {
+    const std::uint64_t length = readBigEndian(bytes.data(), kFrameLengthBytes);
+    const std::uint64_t flags = readBigEndian(bytes.data() + kFlagsOffset, kFlagsBytes);
+    const bool has_length = length >= kFrameHeaderBytes && length <= kMaxFrameBytes;
+    if (!has_length) throw InvalidFrame("length " + std::to_string(length));
+    if (flags > kReplyFlag) throw InvalidFrame("flags " + std::to_string(flags));
+    FrameHeader header;
+    header.id = readBigEndian(bytes.data() + kIdOffset, kIdBytes);
+    header.kind = static_cast<std::uint16_t>(readBigEndian(bytes.data() + kKindOffset, kKindBytes));
+    header.is_reply = flags == kReplyFlag;
+    header.body_bytes = length - kFrameHeaderBytes;
+    return header;
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/frame_connection.cpp
+++ b/src/cluster/common/frame_connection.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kReceiveBytes = 64 * 1024;  // at once; also what an idle connection may keep
+constexpr std::size_t kReceiveBufferBytes = 64 * 1024;  // at once; also what an idle connection may keep
 
 bool isRetriable(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
@@ -22,13 +22,13 @@
 
 FrameConnection::FrameConnection(EventLoop& loop, FrameListener& listener, Socket socket)
     : loop_(loop), listener_(listener), socket_(std::move(socket)), output_(evbuffer_new()) {
-    makeEvents();
+    createEvents();
     start();
 }
 
 FrameConnection::FrameConnection(EventLoop& loop, FrameListener& listener, const NodeAddress& to)
     : loop_(loop), listener_(listener), socket_(openSocket(to)), output_(evbuffer_new()) {
-    makeEvents();
+    createEvents();
     if (startConnecting(socket_, to)) {
         event_add(write_event_.get(), nullptr);
         return;
@@ -42,7 +42,7 @@
     *alive_ = false;
 }
 
-void FrameConnection::makeEvents() {
+void FrameConnection::createEvents() {
     read_event_.reset(event_new(loop_.base(), socket_.descriptor(), EV_READ | EV_PERSIST,
                                 &FrameConnection::onReadable, this));
     write_event_.reset(
@@ -87,7 +87,7 @@
 }
 
 void FrameConnection::finishConnecting() {
-    if (socketError(socket_) != 0) return listener_.onClosed();
+    if (pendingSocketError(socket_) != 0) return listener_.onClosed();
     start();
     listener_.onConnected();
 }
@@ -100,38 +100,38 @@
 }
 
 void FrameConnection::receive() {
-    static thread_local std::array<char, kReceiveBytes> bytes;
+    static thread_local std::array<char, kReceiveBufferBytes> bytes;
     const ssize_t received = recv(socket_.descriptor(), bytes.data(), bytes.size(), 0);
     if (received < 0 && isRetriable(errno)) return;
     if (received <= 0) return listener_.onClosed();
     input_.append(bytes.data(), static_cast<std::size_t>(received));
-    handOverFrames();
+    deliverFrames();
 }
 
-void FrameConnection::handOverFrames() {
+void FrameConnection::deliverFrames() {
     const std::shared_ptr<bool> alive = alive_;
     try {
         while (std::optional<Frame> frame = takeFrame()) {
             listener_.onFrame(std::move(*frame));
             if (!*alive) return;
         }
-    } catch (const BadFrame& error) {
+    } catch (const InvalidFrame& error) {
         LOG(WARNING) << "connection closed: bad frame: " << error.what();
         return listener_.onClosed();
     }
-    input_.erase(0, std::exchange(consumed_, 0));
-    if (input_.empty() && input_.capacity() > kReceiveBytes) input_.shrink_to_fit();
+    input_.erase(0, std::exchange(consumed_bytes_, 0));
+    if (input_.empty() && input_.capacity() > kReceiveBufferBytes) input_.shrink_to_fit();
     listener_.onReceived();
 }
 
 std::optional<Frame> FrameConnection::takeFrame() {
-    const std::string_view rest = std::string_view(input_).substr(consumed_);
-    if (rest.size() < kFramePrefixBytes) return std::nullopt;
-    const FrameHead head = decodePrefix(rest);
-    if (rest.size() - kFramePrefixBytes < head.body_bytes) return std::nullopt;
-    consumed_ += kFramePrefixBytes + head.body_bytes;
-    return Frame{head.id, head.kind, head.reply,
-                 std::string(rest.substr(kFramePrefixBytes, head.body_bytes))};
+    const std::string_view remaining = std::string_view(input_).substr(consumed_bytes_);
+    if (remaining.size() < kFramePrefixBytes) return std::nullopt;
+    const FrameHeader header = decodePrefix(remaining);
+    if (remaining.size() - kFramePrefixBytes < header.body_bytes) return std::nullopt;
+    consumed_bytes_ += kFramePrefixBytes + header.body_bytes;
+    return Frame{header.id, header.kind, header.is_reply,
+                 std::string(remaining.substr(kFramePrefixBytes, header.body_bytes))};
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/frame_connection.hpp
+++ b/src/cluster/common/frame_connection.hpp
@@ -58,11 +58,11 @@
     static void onReadable(evutil_socket_t, short, void* self);
     static void onWritable(evutil_socket_t, short, void* self);
 
-    void makeEvents();
+    void createEvents();
     void start();
     void finishConnecting();
     void receive();
-    void handOverFrames();
+    void deliverFrames();
     std::optional<Frame> takeFrame();
     void flush();
 
@@ -72,8 +72,8 @@
     bool connected_ = false;
     std::unique_ptr<evbuffer, BufferDeleter> output_;
     std::uint64_t bytes_queued_ = 0;
-    std::string input_;         // received and not yet handed over
-    std::size_t consumed_ = 0;  // of input_
+    std::string input_;               // received and not yet handed over
+    std::size_t consumed_bytes_ = 0;  // of input_
     EventHandle read_event_;
     EventHandle write_event_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/cluster/common/http.cpp
+++ b/src/cluster/common/http.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-char lower(char letter) {
-    return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + ('a' - 'A')) : letter;
+char toLower(char character) {
+    return character >= 'A' && character <= 'Z' ? static_cast<char>(character + ('a' - 'A')) : character;
 }
 
-bool isSameHeader(std::string_view one, std::string_view other) {
-    const auto is_same = [](char left, char right) { return lower(left) == lower(right); };
+bool equalsIgnoringCase(std::string_view one, std::string_view other) {
+    const auto is_same = [](char left, char right) { return toLower(left) == toLower(right); };
     return std::equal(one.begin(), one.end(), other.begin(), other.end(), is_same);
 }
 
@@ -19,7 +19,7 @@
 
 std::string_view headerValue(const HttpHeaders& headers, std::string_view name) {
     for (const HttpHeader& header : headers) {
-        if (isSameHeader(header.name, name)) return header.value;
+        if (equalsIgnoringCase(header.name, name)) return header.value;
     }
     return {};
 }
--- a/src/cluster/common/http.hpp
+++ b/src/cluster/common/http.hpp
@@ -60,9 +60,9 @@
     // Request-Id, an answer that does not repeat it closes its connection and gives unknown.
     virtual void send(HttpCall call, std::function<void(HttpOutcome)> done) = 0;
     // Connections that are open now to an address, idle or not.
-    virtual std::size_t connectionsTo(const NodeAddress& address) const = 0;
+    virtual std::size_t connectionCount(const NodeAddress& address) const = 0;
     // Closes idle connections, at an address that is not used any more.
-    virtual void forget(const NodeAddress& address) = 0;
+    virtual void drainConnections(const NodeAddress& address) = 0;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/next_response.cpp
+++ b/src/cluster/common/next_response.cpp
@@ -20,7 +20,7 @@
     evbuffer_unfreeze(output, kAtFront);
     evbuffer_drain(output, evbuffer_get_length(output));
     evbuffer_freeze(output, kAtFront);
-    writeSoon(stream);  // evhttp begins to read once it has written
+    scheduleWrite(stream);  // evhttp begins to read once it has written
     return true;
 }
 
--- a/src/cluster/common/tcp_peer.cpp
+++ b/src/cluster/common/tcp_peer.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis kConnectTimeout{300};
 // A peer that owes an answer and sent nothing for so long gets a new connection after the next timeout.
-constexpr Millis kSilenceLimit{1000};
+constexpr Millis kUnresponsiveTimeout{1000};
 
 }  // namespace
 
@@ -18,74 +18,74 @@
 void TcpPeer::call(Envelope request, Millis timeout, std::function<void(CallResult)> done) {
     if (request.body.size() > kMaxBodyBytes) throw std::length_error("request of over 64 MB");
     if (!connection_) connect();
-    const std::uint64_t id = ++last_id_;
-    Call& call = calls_[id];
+    const std::uint64_t id = ++last_call_id_;
+    PendingCall& call = pending_calls_[id];
     call.request = std::move(request);
     call.done = std::move(done);
-    call.timer = loop_.after(timeout, [this, id] { timedOut(id); });
-    if (connected_) send(id, call);
+    call.timer = loop_.after(timeout, [this, id] { handleTimeout(id); });
+    if (connected_) sendCall(id, call);
 }
 
 void TcpPeer::connect() {
     FrameListener& listener = *this;
     connection_ = std::make_unique<FrameConnection>(loop_, listener, address_);
-    connect_timer_ = loop_.after(kConnectTimeout, [this] { failAll(); });
+    connect_timer_ = loop_.after(kConnectTimeout, [this] { failAllCalls(); });
 }
 
-void TcpPeer::send(std::uint64_t id, Call& call) {
+void TcpPeer::sendCall(std::uint64_t id, PendingCall& call) {
     call.offset = connection_->send(Frame{id, call.request.kind, false, std::move(call.request.body)});
-    if (!silent_since_) silent_since_ = loop_.now();
+    if (!waiting_since_) waiting_since_ = loop_.now();
 }
 
 void TcpPeer::onConnected() {
     connected_ = true;
     connect_timer_.reset();
-    for (auto& [id, call] : calls_) send(id, call);
+    for (auto& [id, call] : pending_calls_) sendCall(id, call);
 }
 
 void TcpPeer::onFrame(Frame frame) {
-    const auto found = calls_.find(frame.id);
-    if (!frame.reply || found == calls_.end()) return;
+    const auto found = pending_calls_.find(frame.id);
+    if (!frame.is_reply || found == pending_calls_.end()) return;
     const std::function<void(CallResult)> done = std::move(found->second.done);
-    calls_.erase(found);
+    pending_calls_.erase(found);
     done({Verdict::answered, Envelope{frame.kind, std::move(frame.body)}});
 }
 
 void TcpPeer::onReceived() {
-    if (calls_.empty()) {
-        silent_since_.reset();
+    if (pending_calls_.empty()) {
+        waiting_since_.reset();
     } else {
-        silent_since_ = loop_.now();
+        waiting_since_ = loop_.now();
     }
 }
 
 void TcpPeer::onClosed() {
-    failAll();
+    failAllCalls();
 }
 
-void TcpPeer::timedOut(std::uint64_t id) {
-    if (connected_ && silentTooLong()) return failAll();
-    const auto found = calls_.find(id);
+void TcpPeer::handleTimeout(std::uint64_t id) {
+    if (connected_ && isUnresponsive()) return failAllCalls();
+    const auto found = pending_calls_.find(id);
     const Verdict verdict = found->second.offset ? Verdict::unknown : Verdict::not_executed;
     const std::function<void(CallResult)> done = std::move(found->second.done);
-    calls_.erase(found);
+    pending_calls_.erase(found);
     done({verdict, {}});
 }
 
-bool TcpPeer::silentTooLong() const {
-    return silent_since_ && loop_.now() - *silent_since_ > kSilenceLimit;
+bool TcpPeer::isUnresponsive() const {
+    return waiting_since_ && loop_.now() - *waiting_since_ > kUnresponsiveTimeout;
 }
 
-void TcpPeer::failAll() {
+void TcpPeer::failAllCalls() {
     const std::uint64_t written = connection_->bytesWritten();
     connection_.reset();
     connected_ = false;
     connect_timer_.reset();
-    silent_since_.reset();
-    const Calls failed = std::exchange(calls_, {});
+    waiting_since_.reset();
+    const PendingCalls failed = std::exchange(pending_calls_, {});
     for (const auto& [id, call] : failed) {
-        const bool never_left = !call.offset || *call.offset >= written;
-        call.done({never_left ? Verdict::not_executed : Verdict::unknown, {}});
+        const bool is_unsent = !call.offset || *call.offset >= written;
+        call.done({is_unsent ? Verdict::not_executed : Verdict::unknown, {}});
     }
 }
 
--- a/src/cluster/common/tcp_peer.hpp
+++ b/src/cluster/common/tcp_peer.hpp
@@ -23,13 +23,13 @@
     void call(Envelope request, Millis timeout, std::function<void(CallResult)> done);
 
 private:
-    struct Call {
+    struct PendingCall {
         Envelope request;  // empty once it was sent
         std::function<void(CallResult)> done;
         TimerHandle timer;
         std::optional<std::uint64_t> offset;  // of its frame in the stream; none before it was sent
     };
-    using Calls = std::map<std::uint64_t, Call>;
+    using PendingCalls = std::map<std::uint64_t, PendingCall>;
 
     void onConnected() override;
     void onFrame(Frame frame) override;
@@ -37,21 +37,21 @@
     void onClosed() override;
 
     void connect();
-    void send(std::uint64_t id, Call& call);
-    void timedOut(std::uint64_t id);
-    bool silentTooLong() const;
+    void sendCall(std::uint64_t id, PendingCall& call);
+    void handleTimeout(std::uint64_t id);
+    bool isUnresponsive() const;
     // Ends all calls: those whose frame surely never left as not_executed, the others as unknown.
-    void failAll();
+    void failAllCalls();
 
     EventLoop& loop_;
     NodeAddress address_;
     std::unique_ptr<FrameConnection> connection_;
     bool connected_ = false;
     TimerHandle connect_timer_;
-    std::uint64_t last_id_ = 0;
-    Calls calls_;
+    std::uint64_t last_call_id_ = 0;
+    PendingCalls pending_calls_;
     // Since when this side has waited for bytes from the peer; none while nothing is owed.
-    std::optional<SteadyTime> silent_since_;
+    std::optional<SteadyTime> waiting_since_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/tcp_socket.cpp
+++ b/src/cluster/common/tcp_socket.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr int kListenBacklog = 1024;
-constexpr Millis kBindRetryFor{3000};
-constexpr Millis kBindRetryEvery{50};
+constexpr Millis kBindRetryTimeout{3000};
+constexpr Millis kBindRetryInterval{50};
 constexpr unsigned int kUserTimeoutMillis = 1500;
 
 // False where the address is in use. Throws SocketError.
@@ -64,7 +64,7 @@
     return connect(socket.descriptor(), name, sizeof(target)) == 0 || errno == EINPROGRESS;
 }
 
-int socketError(const Socket& socket) {
+int pendingSocketError(const Socket& socket) {
     int error = 0;
     socklen_t size = sizeof(error);
     if (getsockopt(socket.descriptor(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
@@ -73,13 +73,13 @@
 
 Socket listenOn(const NodeAddress& address) {
     const sockaddr_in target = toSocketAddress(address);
-    const auto end = std::chrono::steady_clock::now() + kBindRetryFor;
+    const auto end = std::chrono::steady_clock::now() + kBindRetryTimeout;
     Socket socket = openSocket(address);
     const int on = 1;
     setsockopt(socket.descriptor(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     while (!tryListen(socket, address, target)) {
         if (std::chrono::steady_clock::now() >= end) throw SocketError(address, std::strerror(EADDRINUSE));
-        std::this_thread::sleep_for(kBindRetryEvery);
+        std::this_thread::sleep_for(kBindRetryInterval);
     }
     return socket;
 }
--- a/src/cluster/common/tcp_socket.hpp
+++ b/src/cluster/common/tcp_socket.hpp
@@ -47,7 +47,7 @@
 bool startConnecting(const Socket& socket, const NodeAddress& to);
 
 // The pending error of a socket, 0 for none.
-int socketError(const Socket& socket);
+int pendingSocketError(const Socket& socket);
 
 // A non-blocking socket that listens there. While the address is in use it tries again for 3 s, which blocks
 // the caller. Throws SocketError.
--- a/src/cluster/common/tcp_transport.cpp
+++ b/src/cluster/common/tcp_transport.cpp
@@ -7,23 +7,24 @@
 namespace amberswitch::cluster {
 
 // The serving side of one connection. Responders hold it weakly, so a late answer finds it gone.
-class TcpTransport::Incoming : public FrameListener, public std::enable_shared_from_this<Incoming> {
+class TcpTransport::IncomingConnection : public FrameListener,
+                                         public std::enable_shared_from_this<IncomingConnection> {
 public:
-    Incoming(TcpTransport& transport, Socket socket)
+    IncomingConnection(TcpTransport& transport, Socket socket)
         : transport_(transport), connection_(transport.loop_, *this, std::move(socket)) {}
 
     void onFrame(Frame frame) override {
-        if (frame.reply || !transport_.handler_) return;
+        if (frame.is_reply || !transport_.handler_) return;
         auto respond = [weak = weak_from_this(), id = frame.id](Envelope reply) {
-            if (const auto self = weak.lock()) self->answer(id, std::move(reply));
+            if (const auto self = weak.lock()) self->sendReply(id, std::move(reply));
         };
         transport_.handler_(Envelope{frame.kind, std::move(frame.body)}, std::move(respond));
     }
 
-    void onClosed() override { transport_.incoming_.erase(this); }
+    void onClosed() override { transport_.incoming_connections_.erase(this); }
 
 private:
-    void answer(std::uint64_t id, Envelope reply) {
+    void sendReply(std::uint64_t id, Envelope reply) {
         connection_.send(Frame{id, reply.kind, true, std::move(reply.body)});
     }
 
@@ -31,14 +32,14 @@
     FrameConnection connection_;
 };
 
-TcpTransport::TcpTransport(EventLoop& loop, const NodeAddress& self) : loop_(loop) {
-    Socket socket = listenOn(self);
-    self_ = localAddress(socket.descriptor());
+TcpTransport::TcpTransport(EventLoop& loop, const NodeAddress& address) : loop_(loop) {
+    Socket socket = listenOn(address);
+    address_ = localAddress(socket.descriptor());
     constexpr unsigned int kOptions = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC;
     listener_.reset(
         evconnlistener_new(loop.base(), &TcpTransport::onAccept, this, kOptions, 0, socket.descriptor()));
     if (listener_) socket.release();
-    if (!listener_) throw SocketError(self, "no memory to listen");
+    if (!listener_) throw SocketError(address, "no memory to listen");
 }
 
 TcpTransport::~TcpTransport() = default;
@@ -60,8 +61,8 @@
 }
 
 void TcpTransport::accept(evutil_socket_t socket) {
-    const auto incoming = std::make_shared<Incoming>(*this, Socket(socket));
-    incoming_.emplace(incoming.get(), incoming);
+    const auto incoming = std::make_shared<IncomingConnection>(*this, Socket(socket));
+    incoming_connections_.emplace(incoming.get(), incoming);
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/tcp_transport.hpp
+++ b/src/cluster/common/tcp_transport.hpp
@@ -23,7 +23,7 @@
 class TcpTransport : public Transport {
 public:
     // Listens at once; port 0 takes any free one. Throws SocketError.
-    TcpTransport(EventLoop& loop, const NodeAddress& self);
+    TcpTransport(EventLoop& loop, const NodeAddress& address);
     ~TcpTransport() override;
 
     // Throws SocketError where the address is not an IPv4 address.
@@ -32,20 +32,20 @@
     void serve(RequestHandler handler) override;
 
     // Where it listens.
-    const NodeAddress& self() const { return self_; }
+    const NodeAddress& address() const { return address_; }
 
 private:
-    class Incoming;
+    class IncomingConnection;
 
     static void onAccept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
     void accept(evutil_socket_t socket);
 
     EventLoop& loop_;
-    NodeAddress self_;
+    NodeAddress address_;
     RequestHandler handler_;
     ListenerHandle listener_;
     std::map<NodeAddress, std::unique_ptr<TcpPeer>> peers_;
-    std::unordered_map<const Incoming*, std::shared_ptr<Incoming>> incoming_;
+    std::unordered_map<const IncomingConnection*, std::shared_ptr<IncomingConnection>> incoming_connections_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/traffic_meter.cpp
+++ b/src/cluster/common/traffic_meter.cpp
@@ -10,37 +10,37 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kUnknownDistance = 3;
+constexpr std::size_t kUnknownDistanceIndex = 3;
 constexpr std::array<std::string_view, 4> kDistanceNames{"same_zone", "same_region", "other_region",
                                                          "unknown_distance"};
 
-std::size_t indexOf(std::optional<Distance> distance) {
-    return distance ? static_cast<std::size_t>(*distance) : kUnknownDistance;
+std::size_t distanceIndex(std::optional<Distance> distance) {
+    return distance ? static_cast<std::size_t>(*distance) : kUnknownDistanceIndex;
 }
 
 }  // namespace
 
-void TrafficMeter::count(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_sent) {
-    Amount& amount = amounts_[kind][indexOf(distance)];
-    ++amount.calls;
-    amount.bytes += kFramePrefixBytes + bytes_sent;
+void TrafficMeter::countCall(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_sent) {
+    Totals& totals = totals_[kind][distanceIndex(distance)];
+    ++totals.calls;
+    totals.bytes += kFramePrefixBytes + bytes_sent;
 }
 
 void TrafficMeter::countReply(std::uint16_t kind, std::optional<Distance> distance,
                               std::size_t bytes_received) {
-    amounts_[kind][indexOf(distance)].bytes += kFramePrefixBytes + bytes_received;
+    totals_[kind][distanceIndex(distance)].bytes += kFramePrefixBytes + bytes_received;
 }
 
 std::string TrafficMeter::text() const {
     MetricsText text("traffic_");
-    for (const auto& [kind, by_distance] : amounts_) {
+    for (const auto& [kind, by_distance] : totals_) {
         for (std::size_t index = 0; index < by_distance.size(); ++index) {
-            const Amount& amount = by_distance[index];
-            if (amount.calls == 0) continue;
+            const Totals& totals = by_distance[index];
+            if (totals.calls == 0) continue;
             const std::string name = std::string(nameOf(static_cast<MessageKind>(kind))) + "_" +
                                      std::string(kDistanceNames[index]);
-            text.add(name + "_calls", amount.calls);
-            text.add(name + "_bytes", amount.bytes);
+            text.add(name + "_calls", totals.calls);
+            text.add(name + "_bytes", totals.bytes);
         }
     }
     return text.take();
@@ -54,7 +54,7 @@
                             std::function<void(CallResult)> done) {
     const std::uint16_t kind = request.kind;
     const std::optional<Distance> distance = locations_.distanceTo(to);
-    meter_.count(kind, distance, request.body.size());
+    meter_.countCall(kind, distance, request.body.size());
     const auto counted = [this, kind, distance, done = std::move(done)](const CallResult& result) {
         if (result.verdict == Verdict::answered) meter_.countReply(kind, distance, result.reply.body.size());
         done(result);
--- a/src/cluster/common/traffic_meter.hpp
+++ b/src/cluster/common/traffic_meter.hpp
@@ -16,18 +16,18 @@
 
 class TrafficMeter {
 public:
-    void count(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_sent);
+    void countCall(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_sent);
     void countReply(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_received);
     // Lines such as "traffic_accept_message_other_region_bytes 120"; what was never counted has no line.
     std::string text() const;
 
 private:
-    struct Amount {
+    struct Totals {
         std::uint64_t calls = 0;
         std::uint64_t bytes = 0;  // requests and their answers, with frames and without headers of TCP
     };
-    static constexpr std::size_t kDistances = 4;  // those of Distance, and the unknown one
-    std::map<std::uint16_t, std::array<Amount, kDistances>> amounts_;  // by kind of message
+    static constexpr std::size_t kDistanceCount = 4;  // those of Distance, and the unknown one
+    std::map<std::uint16_t, std::array<Totals, kDistanceCount>> totals_;  // by kind of message
 };
 
 // Passes everything on and counts the calls that this process makes.
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -135,7 +135,7 @@
         servers_[handle].entry.standing = Standing::off;
         servers_[handle].on = false;
         changed = true;
-        http_.forget(servers_[handle].address);
+        http_.drainConnections(servers_[handle].address);
     }
     if (!changed) return;
     servers_on_ = static_cast<std::size_t>(
@@ -182,7 +182,7 @@
     }
     Server& server = servers_[at->second];
     const Standing standing = usable ? Standing::on : Standing::draining;
-    if (server.on && !usable && !listed.draining) http_.forget(listed.address);
+    if (server.on && !usable && !listed.draining) http_.drainConnections(listed.address);
     const double units = std::max<std::uint32_t>(1, listed.capacity);
     const int zone = zoneIndex(listed.zone);
     const bool changed = fresh || server.entry.standing != standing || server.entry.units != units ||
@@ -206,7 +206,7 @@
 }
 
 bool ServiceDispatcher::isConnected() const {
-    return !service_.endpoint || http_.connectionsTo(*service_.endpoint) > 0;
+    return !service_.endpoint || http_.connectionCount(*service_.endpoint) > 0;
 }
 
 // --- Deliveries --------------------------------------------------------------------------------------------
@@ -311,7 +311,7 @@
         return timers_.set(timer->delay, timer->tag);
     }
     if (const auto* const idle = std::get_if<heronmount::CloseIdle>(&action)) {
-        http_.forget(servers_[idle->worker].address);
+        http_.drainConnections(servers_[idle->worker].address);
     }
 }
 
--- a/tests/cluster/control_listener_test.cpp
+++ b/tests/cluster/control_listener_test.cpp
@@ -15,7 +15,7 @@
 #include "cluster/common/evhttp_client.hpp"
 #include "cluster/control/operator_api.hpp"
 #include "tests/cluster/large_configuration.hpp"
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 
 using namespace amberswitch::cluster;
 using amberswitch::cluster::testing::largeConfiguration;
--- a/tests/cluster/control_world.hpp
+++ b/tests/cluster/control_world.hpp
@@ -108,8 +108,8 @@
         outcome.response = answer(call.request.target);
         world_.at(world_.now() + Millis(2), [done, outcome] { done(outcome); });
     }
-    std::size_t connectionsTo(const NodeAddress&) const override { return 0; }
-    void forget(const NodeAddress&) override {}
+    std::size_t connectionCount(const NodeAddress&) const override { return 0; }
+    void drainConnections(const NodeAddress&) override {}
 
     std::vector<std::string> pages;  // bodies, in order
     std::vector<std::string> targets;
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -252,9 +252,9 @@
     locations.learn(far, "west-a");
     TrafficMeter meter;
     const auto kind = static_cast<std::uint16_t>(MessageKind::accept_message);
-    meter.count(kind, locations.distanceTo(near), 100);
-    meter.count(kind, locations.distanceTo(far), 200);
-    meter.count(kind, locations.distanceTo(far), 200);
+    meter.countCall(kind, locations.distanceTo(near), 100);
+    meter.countCall(kind, locations.distanceTo(far), 200);
+    meter.countCall(kind, locations.distanceTo(far), 200);
     meter.countReply(kind, locations.distanceTo(far), 10);
     const std::string text = meter.text();
     CHECK(text.find("traffic_accept_message_same_zone_calls 1\n") != std::string::npos);
--- a/tests/cluster/edge_store_world.hpp
+++ b/tests/cluster/edge_store_world.hpp
@@ -63,8 +63,8 @@
     explicit ProcessHttp(Play& play) : play_(play), alive_(std::make_shared<bool>(true)) {}
     ~ProcessHttp() override;
     void send(HttpCall call, std::function<void(HttpOutcome)> done) override;
-    std::size_t connectionsTo(const NodeAddress&) const override { return 0; }
-    void forget(const NodeAddress&) override {}
+    std::size_t connectionCount(const NodeAddress&) const override { return 0; }
+    void drainConnections(const NodeAddress&) override {}
     std::size_t receiverConnections() const { return receiver_connections_; }
 
 private:
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -76,10 +76,10 @@
         if (!outcome) return held_.push_back(finish);
         world_.at(world_.now() + work, [finish, outcome] { finish(*outcome); });
     }
-    std::size_t connectionsTo(const NodeAddress& address) const override {
+    std::size_t connectionCount(const NodeAddress& address) const override {
         return connected.contains(address) ? 1 : 0;
     }
-    void forget(const NodeAddress& address) override { forgotten.push_back(address); }
+    void drainConnections(const NodeAddress& address) override { forgotten.push_back(address); }
 
     // Answers the request that has been held the longest.
     void release(HttpOutcome outcome) {
--- a/tests/cluster/http_play.hpp
+++ b/tests/cluster/http_fixtures.hpp
@@ -5,30 +5,30 @@
 
 #include "cluster/common/evhttp_client.hpp"
 #include "cluster/common/evhttp_server.hpp"
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 
 namespace amberswitch::cluster::testing {
 
 // Counts how often a call ended, and keeps the last outcome.
-struct HttpOutcomes {
-    int times = 0;
+struct HttpOutcomeRecorder {
+    int completions = 0;
     HttpOutcome result;
 
-    std::function<void(HttpOutcome)> hear() {
-        return [this](HttpOutcome heard) {
-            ++times;
-            result = std::move(heard);
+    std::function<void(HttpOutcome)> callback() {
+        return [this](HttpOutcome ended) {
+            ++completions;
+            result = std::move(ended);
         };
     }
 };
 
-inline std::string answer(const std::string& body, const std::string& headers = "") {
+inline std::string okResponse(const std::string& body, const std::string& headers = "") {
     return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
 }
 
 // A client, and a server that the test plays by hand.
-class ClientPlay {
+class HttpClientFixture {
 public:
     EventLoop loop;
     RawServer server{loop};
@@ -47,50 +47,50 @@
         return call;
     }
     // Waits until the server has that many requests in all on its connection of that index.
-    bool requested(std::size_t connection, std::size_t requests) {
+    bool waitForRequestsOn(std::size_t connection, std::size_t requests) {
         return runUntil(loop, [&] {
             return server.connections.size() > connection &&
                    server.connections[connection]->count("\r\n\r\n") >= requests;
         });
     }
-    RawConnection& at(std::size_t connection) { return *server.connections.at(connection); }
-    bool ended(const HttpOutcomes& outcome) {
-        return runUntil(loop, [&] { return outcome.times > 0; });
+    RawConnection& serverConnection(std::size_t connection) { return *server.connections.at(connection); }
+    bool waitForOutcome(const HttpOutcomeRecorder& outcome) {
+        return runUntil(loop, [&] { return outcome.completions > 0; });
     }
     // One whole exchange on the server's connection of that index, which leaves it idle.
-    void exchange(std::size_t connection, std::size_t requests, const std::string& headers = "") {
-        HttpOutcomes outcome;
-        client.send(get(), outcome.hear());
-        REQUIRE(requested(connection, requests));
-        at(connection).send(answer("ok", headers));
-        REQUIRE(ended(outcome));
+    void completeExchange(std::size_t connection, std::size_t requests, const std::string& headers = "") {
+        HttpOutcomeRecorder outcome;
+        client.send(get(), outcome.callback());
+        REQUIRE(waitForRequestsOn(connection, requests));
+        serverConnection(connection).send(okResponse("ok", headers));
+        REQUIRE(waitForOutcome(outcome));
         REQUIRE(outcome.result.verdict == Verdict::answered);
     }
 };
 
-// A server that keeps what it is asked until the test answers.
-class ServerPlay {
+// A server that holds each request until the test answers it.
+class HttpServerFixture {
 public:
-    struct Asked {
+    struct PendingRequest {
         HttpRequest request;
         HttpResponder respond;
     };
 
     EventLoop loop;
-    std::vector<Asked> asked;
+    std::vector<PendingRequest> requests;
     std::unique_ptr<EvhttpServer> server = std::make_unique<EvhttpServer>(
         loop, NodeAddress{"127.0.0.1", 0}, [this](const HttpRequest& request, HttpResponder respond) {
-            asked.push_back({request, std::move(respond)});
+            requests.push_back({request, std::move(respond)});
         });
 
-    bool askedTimes(std::size_t times) {
-        return runUntil(loop, [&] { return asked.size() >= times; });
+    bool waitForRequests(std::size_t count) {
+        return runUntil(loop, [&] { return requests.size() >= count; });
     }
-    bool receives(const RawConnection& client, const std::string& text) {
+    bool waitForText(const RawConnection& client, const std::string& text) {
         return runUntil(loop, [&] { return client.count(text) > 0 || client.closed; }) &&
                client.count(text) > 0;
     }
-    bool closes(const RawConnection& client) {
+    bool waitForClose(const RawConnection& client) {
         return runUntil(loop, [&] { return client.closed; });
     }
 };
--- a/tests/cluster/http_pool_test.cpp
+++ b/tests/cluster/http_pool_test.cpp
@@ -2,199 +2,203 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "tests/cluster/http_play.hpp"
+#include "tests/cluster/http_fixtures.hpp"
 
 namespace amberswitch::cluster {
 
-using testing::answer;
-using testing::ClientPlay;
 using testing::closedAddress;
-using testing::HttpOutcomes;
+using testing::HttpClientFixture;
+using testing::HttpOutcomeRecorder;
+using testing::okResponse;
 using testing::RawServer;
 using testing::runUntil;
 
 TEST_CASE("an idle connection is used again") {
-    ClientPlay play;
-    for (std::size_t request = 1; request <= 4; ++request) play.exchange(0, request);
-    CHECK(play.client.counters().connections_opened == 1);
-    CHECK(play.client.connectionsTo(play.server.address) == 1);
-    CHECK(play.server.connections.size() == 1);
+    HttpClientFixture fixture;
+    for (std::size_t request = 1; request <= 4; ++request) fixture.completeExchange(0, request);
+    CHECK(fixture.client.counters().connections_opened == 1);
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 1);
+    CHECK(fixture.server.connections.size() == 1);
 }
 
 TEST_CASE("the connection that was used last is used first") {
-    ClientPlay play;
-    HttpOutcomes first;
-    HttpOutcomes second;
-    play.client.send(play.get("/first"), first.hear());
-    REQUIRE(play.requested(0, 1));
-    play.client.send(play.get("/second"), second.hear());
-    REQUIRE(play.requested(1, 1));
-    CHECK(play.client.connectionsTo(play.server.address) == 2);
-    play.at(1).send(answer("2"));
-    REQUIRE(play.ended(second));
-    play.at(0).send(answer("1"));
-    REQUIRE(play.ended(first));
-    play.exchange(0, 2);
-    CHECK(play.at(1).count("\r\n\r\n") == 1);
+    HttpClientFixture fixture;
+    HttpOutcomeRecorder first;
+    HttpOutcomeRecorder second;
+    fixture.client.send(fixture.get("/first"), first.callback());
+    REQUIRE(fixture.waitForRequestsOn(0, 1));
+    fixture.client.send(fixture.get("/second"), second.callback());
+    REQUIRE(fixture.waitForRequestsOn(1, 1));
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 2);
+    fixture.serverConnection(1).send(okResponse("2"));
+    REQUIRE(fixture.waitForOutcome(second));
+    fixture.serverConnection(0).send(okResponse("1"));
+    REQUIRE(fixture.waitForOutcome(first));
+    fixture.completeExchange(0, 2);
+    CHECK(fixture.serverConnection(1).count("\r\n\r\n") == 1);
 }
 
 TEST_CASE("over the limit of connections nothing is sent") {
-    ClientPlay play;
-    HttpCall call = play.get();
+    HttpClientFixture fixture;
+    HttpCall call = fixture.get();
     call.max_connections = 1;
-    HttpOutcomes first;
-    HttpOutcomes second;
-    play.client.send(call, first.hear());
-    play.client.send(call, second.hear());
-    CHECK(second.times == 0);
-    REQUIRE(play.ended(second));
+    HttpOutcomeRecorder first;
+    HttpOutcomeRecorder second;
+    fixture.client.send(call, first.callback());
+    fixture.client.send(call, second.callback());
+    CHECK(second.completions == 0);
+    REQUIRE(fixture.waitForOutcome(second));
     CHECK(second.result.verdict == Verdict::not_executed);
     CHECK_FALSE(second.result.unreachable);
-    REQUIRE(play.requested(0, 1));
-    play.at(0).send(answer("1"));
-    REQUIRE(play.ended(first));
-    CHECK(play.server.connections.size() == 1);
+    REQUIRE(fixture.waitForRequestsOn(0, 1));
+    fixture.serverConnection(0).send(okResponse("1"));
+    REQUIRE(fixture.waitForOutcome(first));
+    CHECK(fixture.server.connections.size() == 1);
 }
 
 TEST_CASE("the peer closes an idle connection") {
-    ClientPlay play;
-    play.exchange(0, 1);
+    HttpClientFixture fixture;
+    fixture.completeExchange(0, 1);
     SUBCASE("and it is noticed") {
-        play.at(0).close();
-        REQUIRE(runUntil(play.loop, [&] { return play.client.connectionsTo(play.server.address) == 0; }));
+        fixture.serverConnection(0).close();
+        REQUIRE(runUntil(fixture.loop,
+                         [&] { return fixture.client.connectionCount(fixture.server.address) == 0; }));
     }
     SUBCASE("and the next call comes first") {
-        play.at(0).close();
+        fixture.serverConnection(0).close();
     }
     SUBCASE("by a reset, and the next call comes first") {
-        play.at(0).reset();
+        fixture.serverConnection(0).reset();
     }
-    play.exchange(1, 1);
-    CHECK(play.client.counters().connections_opened == 2);
-    CHECK(play.client.connectionsTo(play.server.address) == 1);
+    fixture.completeExchange(1, 1);
+    CHECK(fixture.client.counters().connections_opened == 2);
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 1);
 }
 
 TEST_CASE("an idle connection that breaks under a request leaves it unknown") {
-    ClientPlay play;
-    play.exchange(0, 1);
-    HttpOutcomes outcome;
-    play.client.send(play.get(), outcome.hear());
-    play.at(0).close();
-    REQUIRE(play.ended(outcome));
+    HttpClientFixture fixture;
+    fixture.completeExchange(0, 1);
+    HttpOutcomeRecorder outcome;
+    fixture.client.send(fixture.get(), outcome.callback());
+    fixture.serverConnection(0).close();
+    REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::unknown);
     CHECK_FALSE(outcome.result.unreachable);
-    CHECK(play.server.connections.size() == 1);  // nothing was sent again
+    CHECK(fixture.server.connections.size() == 1);  // nothing was sent again
 }
 
 TEST_CASE("a second answer never reaches another call") {
-    ClientPlay play;
-    HttpOutcomes first;
-    play.client.send(play.getWithId("a"), first.hear());
-    REQUIRE(play.requested(0, 1));
-    const std::string own = answer("a", "Request-Id: a\r\n");
+    HttpClientFixture fixture;
+    HttpOutcomeRecorder first;
+    fixture.client.send(fixture.getWithId("a"), first.callback());
+    REQUIRE(fixture.waitForRequestsOn(0, 1));
+    const std::string own = okResponse("a", "Request-Id: a\r\n");
     SUBCASE("it comes with the first one") {
-        play.at(0).send(own + own);
+        fixture.serverConnection(0).send(own + own);
     }
     SUBCASE("it comes on the idle connection") {
-        play.at(0).send(own);
-        REQUIRE(play.ended(first));
-        play.at(0).send(own);
-        REQUIRE(runUntil(play.loop, [&] { return play.client.connectionsTo(play.server.address) == 0; }));
+        fixture.serverConnection(0).send(own);
+        REQUIRE(fixture.waitForOutcome(first));
+        fixture.serverConnection(0).send(own);
+        REQUIRE(runUntil(fixture.loop,
+                         [&] { return fixture.client.connectionCount(fixture.server.address) == 0; }));
     }
     SUBCASE("it waits in the socket when the next call comes") {
-        play.at(0).send(own);
-        REQUIRE(play.ended(first));
-        play.at(0).send(own);
+        fixture.serverConnection(0).send(own);
+        REQUIRE(fixture.waitForOutcome(first));
+        fixture.serverConnection(0).send(own);
     }
-    REQUIRE(play.ended(first));
+    REQUIRE(fixture.waitForOutcome(first));
     CHECK(first.result.response.body == "a");
-    HttpOutcomes second;
-    play.client.send(play.getWithId("b"), second.hear());
+    HttpOutcomeRecorder second;
+    fixture.client.send(fixture.getWithId("b"), second.callback());
     const auto arrivedOn = [&](std::size_t connection, std::size_t requests) {
-        return play.server.connections.size() > connection &&
-               play.at(connection).count("\r\n\r\n") == requests;
+        return fixture.server.connections.size() > connection &&
+               fixture.serverConnection(connection).count("\r\n\r\n") == requests;
     };
-    REQUIRE(runUntil(play.loop, [&] { return arrivedOn(0, 2) || arrivedOn(1, 1); }));
+    REQUIRE(runUntil(fixture.loop, [&] { return arrivedOn(0, 2) || arrivedOn(1, 1); }));
     // On the first connection where the stray answer came only just then; it is dropped there.
-    play.at(arrivedOn(0, 2) ? 0 : 1).send(answer("b", "Request-Id: b\r\n"));
-    REQUIRE(play.ended(second));
+    fixture.serverConnection(arrivedOn(0, 2) ? 0 : 1).send(okResponse("b", "Request-Id: b\r\n"));
+    REQUIRE(fixture.waitForOutcome(second));
     CHECK(second.result.verdict == Verdict::answered);
     CHECK(second.result.response.body == "b");
 }
 
 TEST_CASE("an idle connection is closed before the server does it") {
-    ClientPlay play;
-    const SteadyTime start = play.loop.now();
-    play.exchange(0, 1, "Keep-Alive: timeout=1, max=100\r\n");
-    CHECK(play.client.connectionsTo(play.server.address) == 1);
-    REQUIRE(runUntil(play.loop, [&] { return play.at(0).closed; }));
-    CHECK(play.loop.now() - start >= Millis(600));
-    CHECK(play.loop.now() - start < Millis(1000));
-    CHECK(play.client.connectionsTo(play.server.address) == 0);
+    HttpClientFixture fixture;
+    const SteadyTime start = fixture.loop.now();
+    fixture.completeExchange(0, 1, "Keep-Alive: timeout=1, max=100\r\n");
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 1);
+    REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).closed; }));
+    CHECK(fixture.loop.now() - start >= Millis(600));
+    CHECK(fixture.loop.now() - start < Millis(1000));
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
 }
 
 TEST_CASE("a connection is not kept where the server keeps none") {
-    ClientPlay play;
-    play.exchange(0, 1, "Keep-Alive: timeout=0\r\n");
-    REQUIRE(runUntil(play.loop, [&] { return play.at(0).closed; }));
+    HttpClientFixture fixture;
+    fixture.completeExchange(0, 1, "Keep-Alive: timeout=0\r\n");
+    REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).closed; }));
 }
 
 TEST_CASE("a forgotten address keeps no connections") {
-    ClientPlay play;
-    play.exchange(0, 1);
-    HttpOutcomes open;
-    play.client.send(play.get("/idle"), open.hear());
-    REQUIRE(play.requested(0, 2));
-    HttpOutcomes busy;
-    play.client.send(play.get("/busy"), busy.hear());
-    REQUIRE(play.requested(1, 1));
-    play.at(0).send(answer("1"));
-    REQUIRE(play.ended(open));
-    CHECK(play.client.connectionsTo(play.server.address) == 2);
-    play.client.forget(play.server.address);
-    CHECK(play.client.connectionsTo(play.server.address) == 1);
-    play.at(1).send(answer("2"));
-    REQUIRE(play.ended(busy));
+    HttpClientFixture fixture;
+    fixture.completeExchange(0, 1);
+    HttpOutcomeRecorder open;
+    fixture.client.send(fixture.get("/idle"), open.callback());
+    REQUIRE(fixture.waitForRequestsOn(0, 2));
+    HttpOutcomeRecorder busy;
+    fixture.client.send(fixture.get("/busy"), busy.callback());
+    REQUIRE(fixture.waitForRequestsOn(1, 1));
+    fixture.serverConnection(0).send(okResponse("1"));
+    REQUIRE(fixture.waitForOutcome(open));
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 2);
+    fixture.client.drainConnections(fixture.server.address);
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 1);
+    fixture.serverConnection(1).send(okResponse("2"));
+    REQUIRE(fixture.waitForOutcome(busy));
     CHECK(busy.result.verdict == Verdict::answered);
-    CHECK(play.client.connectionsTo(play.server.address) == 0);
-    REQUIRE(runUntil(play.loop, [&] { return play.at(0).closed && play.at(1).closed; }));
-    play.exchange(2, 1);
+    CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
+    REQUIRE(runUntil(fixture.loop, [&] {
+        return fixture.serverConnection(0).closed && fixture.serverConnection(1).closed;
+    }));
+    fixture.completeExchange(2, 1);
 }
 
 TEST_CASE("calls can be made from done") {
-    ClientPlay play;
-    HttpOutcomes last;
-    HttpCall refused = play.get();
+    HttpClientFixture fixture;
+    HttpOutcomeRecorder last;
+    HttpCall refused = fixture.get();
     refused.to = closedAddress();
-    play.client.send(refused, [&](const HttpOutcome& first) {
+    fixture.client.send(refused, [&](const HttpOutcome& first) {
         CHECK(first.unreachable);
-        play.client.send(refused, [&](const HttpOutcome&) {
-            play.client.send(play.get(), [&](const HttpOutcome& third) {
+        fixture.client.send(refused, [&](const HttpOutcome&) {
+            fixture.client.send(fixture.get(), [&](const HttpOutcome& third) {
                 CHECK(third.verdict == Verdict::answered);
-                play.client.send(play.get("/last"), last.hear());
+                fixture.client.send(fixture.get("/last"), last.callback());
             });
         });
     });
-    REQUIRE(play.requested(0, 1));
-    play.at(0).send(answer("3"));
-    REQUIRE(play.requested(0, 2));
-    play.at(0).send(answer("4"));
-    REQUIRE(play.ended(last));
+    REQUIRE(fixture.waitForRequestsOn(0, 1));
+    fixture.serverConnection(0).send(okResponse("3"));
+    REQUIRE(fixture.waitForRequestsOn(0, 2));
+    fixture.serverConnection(0).send(okResponse("4"));
+    REQUIRE(fixture.waitForOutcome(last));
     CHECK(last.result.response.body == "4");
-    CHECK(play.client.counters().connections_opened == 3);
+    CHECK(fixture.client.counters().connections_opened == 3);
 }
 
 TEST_CASE("a client that ends drops what is open") {
     EventLoop loop;
     RawServer server(loop);
-    HttpOutcomes outcome;
+    HttpOutcomeRecorder outcome;
     {
         EvhttpClient client(loop);
-        client.send({server.address, {"GET", "/", {}, ""}, Millis(5000), 8}, outcome.hear());
+        client.send({server.address, {"GET", "/", {}, ""}, Millis(5000), 8}, outcome.callback());
         REQUIRE(runUntil(loop, [&] { return !server.connections.empty(); }));
     }
     REQUIRE(runUntil(loop, [&] { return server.connections[0]->closed; }));
-    CHECK(outcome.times == 0);
+    CHECK(outcome.completions == 0);
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/http_refusal_test.cpp
+++ b/tests/cluster/http_refusal_test.cpp
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "tests/cluster/http_play.hpp"
+#include "tests/cluster/http_fixtures.hpp"
 
 namespace amberswitch::cluster {
 
-using testing::answer;
+using testing::HttpServerFixture;
+using testing::okResponse;
 using testing::RawConnection;
 using testing::runUntil;
-using testing::ServerPlay;
 using testing::statusLine;
 
 TEST_CASE("a request that is not whole reaches no handler, and its connection ends with the client's") {
@@ -25,27 +25,28 @@
     for (const std::string& part : parts) {
         for (const std::string end : {"stops sending", "closes", "resets"}) {
             INFO(part << " and the client " << end);
-            ServerPlay play;
-            RawConnection client(play.loop, play.server->address());
+            HttpServerFixture fixture;
+            RawConnection client(fixture.loop, fixture.server->address());
             client.send(part);
-            REQUIRE(runUntil(play.loop, [&] { return client.sentAll() && play.server->connections() == 1; }));
+            REQUIRE(runUntil(fixture.loop,
+                             [&] { return client.sentAll() && fixture.server->connections() == 1; }));
             if (end == "stops sending") client.shutdownSending();
             if (end == "closes") client.close();
             if (end == "resets") client.reset();
-            REQUIRE(runUntil(play.loop, [&] { return play.server->connections() == 0; }));
-            CHECK(play.asked.empty());
-            CHECK(play.server->openRequests() == 0);
+            REQUIRE(runUntil(fixture.loop, [&] { return fixture.server->connections() == 0; }));
+            CHECK(fixture.requests.empty());
+            CHECK(fixture.server->openRequests() == 0);
         }
     }
 }
 
 TEST_CASE("what is too large is refused and reaches no handler") {
-    ServerPlay play;
+    HttpServerFixture fixture;
     HttpLimits limits;
     limits.max_body_bytes = 1000;
     limits.max_header_bytes = 500;
-    play.server->setLimits(limits);
-    RawConnection client(play.loop, play.server->address());
+    fixture.server->setLimits(limits);
+    RawConnection client(fixture.loop, fixture.server->address());
     std::string status = "HTTP/1.1 413 Request Entity Too Large";
     SUBCASE("a body with a length") {
         client.send("POST /c HTTP/1.1\r\nContent-Length: 1001\r\n\r\n" + std::string(1001, 'x'));
@@ -66,27 +67,27 @@
         status = "HTTP/1.1 400 Bad Request";
         client.send("GET /" + std::string(500, 'x') + " HTTP/1.1\r\n\r\n");
     }
-    REQUIRE(play.receives(client, "HTTP/1.1 "));
+    REQUIRE(fixture.waitForText(client, "HTTP/1.1 "));
     CHECK(statusLine(client) == status);
-    REQUIRE(play.closes(client));
+    REQUIRE(fixture.waitForClose(client));
     CHECK(client.count("Connection: close\r\n") == 1);
-    CHECK(play.asked.empty());
+    CHECK(fixture.requests.empty());
 }
 
 TEST_CASE("bodies up to the limit are taken") {
-    ServerPlay play;
+    HttpServerFixture fixture;
     HttpLimits limits;
     limits.max_body_bytes = 1000;
-    play.server->setLimits(limits);
-    RawConnection client(play.loop, play.server->address());
+    fixture.server->setLimits(limits);
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("POST /c HTTP/1.1\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x'));
-    REQUIRE(play.askedTimes(1));
-    CHECK(play.asked[0].request.body.size() == 1000);
+    REQUIRE(fixture.waitForRequests(1));
+    CHECK(fixture.requests[0].request.body.size() == 1000);
 }
 
 TEST_CASE("a request whose end is in doubt is refused, and nothing after it is read") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     std::string head = "POST /c HTTP/1.1\r\nHost: h\r\n";
     SUBCASE("a length and chunks") {
@@ -141,15 +142,15 @@
         head = "GET /a HTTP/2.0\r\n\r\n";
     }
     client.send(head + hidden);
-    REQUIRE(play.closes(client));
-    CHECK(play.asked.empty());
+    REQUIRE(fixture.waitForClose(client));
+    CHECK(fixture.requests.empty());
     CHECK(client.count("HTTP/1.1 4") == 1);
     CHECK(client.count("HTTP/1.1 ") == 1);
 }
 
 TEST_CASE("a method that is not served gets 501") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     SUBCASE("unknown") {
         client.send("FETCH /c HTTP/1.1\r\nHost: h\r\n\r\n" + hidden);
@@ -163,67 +164,67 @@
     SUBCASE("long") {
         client.send("ABCDEFGHIJKLMNOP /c HTTP/1.1\r\nHost: h\r\n\r\n" + hidden);
     }
-    REQUIRE(play.closes(client));
+    REQUIRE(fixture.waitForClose(client));
     CHECK(statusLine(client) == "HTTP/1.1 501 Not Implemented");
     CHECK(client.count("HTTP/1.1 ") == 1);
-    CHECK(play.asked.empty());
+    CHECK(fixture.requests.empty());
 }
 
 TEST_CASE("an answer with a header that cannot be sent becomes 500") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.asked[0].respond({200, {{"X", "a\r\nY: b"}}, "ok", false});
-    REQUIRE(play.closes(client));
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.requests[0].respond({200, {{"X", "a\r\nY: b"}}, "ok", false});
+    REQUIRE(fixture.waitForClose(client));
     CHECK(statusLine(client) == "HTTP/1.1 500 Internal Server Error");
 }
 
 TEST_CASE("a header that takes too long closes its connection, an idle one stays") {
-    ServerPlay play;
+    HttpServerFixture fixture;
     HttpLimits limits;
     limits.header_timeout = Millis(150);
-    play.server->setLimits(limits);
-    RawConnection idle(play.loop, play.server->address());
-    RawConnection slow(play.loop, play.server->address());
-    RawConnection sending(play.loop, play.server->address());
-    RawConnection waiting(play.loop, play.server->address());
+    fixture.server->setLimits(limits);
+    RawConnection idle(fixture.loop, fixture.server->address());
+    RawConnection slow(fixture.loop, fixture.server->address());
+    RawConnection sending(fixture.loop, fixture.server->address());
+    RawConnection waiting(fixture.loop, fixture.server->address());
     slow.send("GET /1 HTTP/1.1\r\nHost: ");
     sending.send("POST /2 HTTP/1.1\r\nContent-Length: 10\r\n\r\n12345");
     waiting.send("GET /3 HTTP/1.1\r\n\r\n");
-    const SteadyTime start = play.loop.now();
+    const SteadyTime start = fixture.loop.now();
     TimerHandle drip;
     std::function<void()> drop = [&] {
         slow.send("x");
-        drip = play.loop.after(Millis(20), drop);
+        drip = fixture.loop.after(Millis(20), drop);
     };
     drop();
-    REQUIRE(play.closes(slow));
-    CHECK(play.loop.now() - start >= Millis(150));
-    CHECK(play.loop.now() - start < Millis(1500));
+    REQUIRE(fixture.waitForClose(slow));
+    CHECK(fixture.loop.now() - start >= Millis(150));
+    CHECK(fixture.loop.now() - start < Millis(1500));
     drip.reset();
     CHECK_FALSE(idle.closed);
     CHECK_FALSE(sending.closed);
     CHECK_FALSE(waiting.closed);
     sending.send("67890");
-    REQUIRE(play.askedTimes(2));
-    CHECK(play.asked[1].request.body == "1234567890");
+    REQUIRE(fixture.waitForRequests(2));
+    CHECK(fixture.requests[1].request.body == "1234567890");
 }
 
 TEST_CASE("an idle connection is closed after the idle timeout") {
-    ServerPlay play;
+    HttpServerFixture fixture;
     HttpLimits limits;
     limits.idle_timeout = Millis(100);
-    play.server->setLimits(limits);
-    RawConnection never(play.loop, play.server->address());
-    RawConnection once(play.loop, play.server->address());
+    fixture.server->setLimits(limits);
+    RawConnection never(fixture.loop, fixture.server->address());
+    RawConnection once(fixture.loop, fixture.server->address());
     once.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.asked[0].respond({200, {}, "ok", false});
-    REQUIRE(play.receives(once, "ok"));
-    REQUIRE(play.closes(never));
-    REQUIRE(play.closes(once));
-    CHECK(play.server->connections() == 0);
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.requests[0].respond({200, {}, "ok", false});
+    REQUIRE(fixture.waitForText(once, "ok"));
+    REQUIRE(fixture.waitForClose(never));
+    REQUIRE(fixture.waitForClose(once));
+    CHECK(fixture.server->connections() == 0);
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/http_test.cpp
+++ b/tests/cluster/http_test.cpp
@@ -2,65 +2,65 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "tests/cluster/http_play.hpp"
+#include "tests/cluster/http_fixtures.hpp"
 
 namespace amberswitch::cluster {
 
-using testing::answer;
 using testing::bodyOf;
+using testing::HttpServerFixture;
+using testing::okResponse;
 using testing::RawConnection;
 using testing::runUntil;
-using testing::ServerPlay;
 using testing::statusLine;
 
 TEST_CASE("a request reaches the handler as it was sent, and its answer the client") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send(
         "POST /a%20b//c?q=%2F&x#f HTTP/1.1\r\nHost: h.example:80\r\nOrder-Key:  k \r\n"
         "Content-Length: 5\r\n\r\n1\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    const HttpRequest& request = play.asked[0].request;
+    REQUIRE(fixture.waitForRequests(1));
+    const HttpRequest& request = fixture.requests[0].request;
     CHECK(request.method == "POST");
     CHECK(request.target == "/a%20b//c?q=%2F&x#f");
     CHECK(headerValue(request.headers, "host") == "h.example:80");
     CHECK(headerValue(request.headers, "ORDER-KEY") == "k");
     CHECK(request.body == "1\r\n\r\n");
-    CHECK(play.server->openRequests() == 1);
-    play.asked[0].respond({202, {{"Message-Ref", "p1-x"}}, "fine", false});
-    REQUIRE(play.receives(client, "fine"));
+    CHECK(fixture.server->openRequests() == 1);
+    fixture.requests[0].respond({202, {{"Message-Ref", "p1-x"}}, "fine", false});
+    REQUIRE(fixture.waitForText(client, "fine"));
     CHECK(statusLine(client) == "HTTP/1.1 202 Accepted");
     CHECK(client.count("Message-Ref: p1-x\r\n") == 1);
     CHECK(client.count("Content-Length: 4\r\n") == 1);
     CHECK(client.count("Connection:") == 0);
     CHECK(client.count("Content-Type:") == 0);
     CHECK(bodyOf(client) == "fine");
-    CHECK(play.server->openRequests() == 0);
-    play.asked[0].respond({200, {}, "again", false});  // only the first answer counts
+    CHECK(fixture.server->openRequests() == 0);
+    fixture.requests[0].respond({200, {}, "again", false});  // only the first answer counts
     client.send("GET /next HTTP/1.1\r\n\r\n");
-    REQUIRE(play.askedTimes(2));
+    REQUIRE(fixture.waitForRequests(2));
     CHECK(client.count("again") == 0);
 }
 
 TEST_CASE("all methods reach the handler") {
-    ServerPlay play;
+    HttpServerFixture fixture;
     for (const std::string method : {"GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "HEAD", "TRACE"}) {
         CAPTURE(method);
-        RawConnection client(play.loop, play.server->address());
+        RawConnection client(fixture.loop, fixture.server->address());
         client.send(method + " /m HTTP/1.1\r\nHost: h\r\n\r\n");
-        const std::size_t before = play.asked.size();
-        REQUIRE(play.askedTimes(before + 1));
-        CHECK(play.asked.back().request.method == method);
-        play.asked.back().respond({200, {}, "body", false});
-        REQUIRE(play.receives(client, "\r\n\r\n"));
+        const std::size_t before = fixture.requests.size();
+        REQUIRE(fixture.waitForRequests(before + 1));
+        CHECK(fixture.requests.back().request.method == method);
+        fixture.requests.back().respond({200, {}, "body", false});
+        REQUIRE(fixture.waitForText(client, "\r\n\r\n"));
         CHECK(client.count("Content-Length: 4\r\n") == 1);
         CHECK(bodyOf(client) == (method == "HEAD" ? "" : "body"));
     }
 }
 
 TEST_CASE("a body in chunks is handed over whole") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     const std::string bytes =
         "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n "
         "\r\nA\r\n0123456789\r\n"
@@ -70,146 +70,147 @@
     }
     SUBCASE("byte by byte") {
         for (const char letter : bytes) {
-            CHECK(play.asked.empty());
+            CHECK(fixture.requests.empty());
             client.send(std::string(1, letter));
-            REQUIRE(runUntil(play.loop, [&] { return client.sentAll(); }));
+            REQUIRE(runUntil(fixture.loop, [&] { return client.sentAll(); }));
         }
     }
-    REQUIRE(play.askedTimes(1));
-    CHECK(play.asked[0].request.body == "hello 0123456789");
-    play.asked[0].respond({200, {}, "", false});
+    REQUIRE(fixture.waitForRequests(1));
+    CHECK(fixture.requests[0].request.body == "hello 0123456789");
+    fixture.requests[0].respond({200, {}, "", false});
     client.send(bytes);
-    REQUIRE(play.askedTimes(2));
-    CHECK(play.asked[1].request.body == "hello 0123456789");
+    REQUIRE(fixture.waitForRequests(2));
+    CHECK(fixture.requests[1].request.body == "hello 0123456789");
 }
 
 TEST_CASE("a client that waits for 100 Continue gets it") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("PUT /c HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-    REQUIRE(play.receives(client, "HTTP/1.1 100 Continue\r\n\r\n"));
-    CHECK(play.asked.empty());
+    REQUIRE(fixture.waitForText(client, "HTTP/1.1 100 Continue\r\n\r\n"));
+    CHECK(fixture.requests.empty());
     client.send("ab");
-    REQUIRE(play.askedTimes(1));
-    CHECK(play.asked[0].request.body == "ab");
-    play.asked[0].respond({200, {}, "done", false});
-    REQUIRE(play.receives(client, "done"));
+    REQUIRE(fixture.waitForRequests(1));
+    CHECK(fixture.requests[0].request.body == "ab");
+    fixture.requests[0].respond({200, {}, "done", false});
+    REQUIRE(fixture.waitForText(client, "done"));
 }
 
 TEST_CASE("requests in a row are handled one after the other") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send(
         "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nPOST /2 HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /3 "
         "HTTP/1.1\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.loop.post([] {});
-    play.loop.runOnce();
-    CHECK(play.asked.size() == 1);
-    play.asked[0].respond({200, {}, "one", false});
-    REQUIRE(play.askedTimes(2));
-    CHECK(play.asked[1].request.target == "/2");
-    CHECK(play.asked[1].request.body == "ab");
-    play.asked[1].respond({200, {}, "two", false});
-    REQUIRE(play.receives(client, "two"));
-    CHECK(play.asked.size() == 2);  // the third is not whole
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.loop.post([] {});
+    fixture.loop.runOnce();
+    CHECK(fixture.requests.size() == 1);
+    fixture.requests[0].respond({200, {}, "one", false});
+    REQUIRE(fixture.waitForRequests(2));
+    CHECK(fixture.requests[1].request.target == "/2");
+    CHECK(fixture.requests[1].request.body == "ab");
+    fixture.requests[1].respond({200, {}, "two", false});
+    REQUIRE(fixture.waitForText(client, "two"));
+    CHECK(fixture.requests.size() == 2);  // the third is not whole
     client.send("Host: h\r\n\r\n");
-    REQUIRE(play.askedTimes(3));
+    REQUIRE(fixture.waitForRequests(3));
     CHECK(client.received.find("one") < client.received.find("two"));
 }
 
 TEST_CASE("an answer after the client has left is dropped") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
+    REQUIRE(fixture.waitForRequests(1));
     SUBCASE("closed") {
         client.close();
     }
     SUBCASE("reset") {
         client.reset();
     }
-    play.asked[0].respond({200, {}, std::string(1'000'000, 'x'), false});
-    REQUIRE(runUntil(play.loop, [&] { return play.server->connections() == 0; }));
-    CHECK(play.server->openRequests() == 0);
+    fixture.requests[0].respond({200, {}, std::string(1'000'000, 'x'), false});
+    REQUIRE(runUntil(fixture.loop, [&] { return fixture.server->connections() == 0; }));
+    CHECK(fixture.server->openRequests() == 0);
 }
 
 TEST_CASE("an answer after the server has ended is dropped") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.server.reset();
-    play.asked[0].respond({200, {}, "late", false});
-    REQUIRE(play.closes(client));
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.server.reset();
+    fixture.requests[0].respond({200, {}, "late", false});
+    REQUIRE(fixture.waitForClose(client));
     CHECK(client.received.empty());
 }
 
 TEST_CASE("a request that is never answered is freed with its responder") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.asked.clear();
-    CHECK(play.server->openRequests() == 1);
-    play.server.reset();
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.requests.clear();
+    CHECK(fixture.server->openRequests() == 1);
+    fixture.server.reset();
 }
 
 TEST_CASE("answers ask to close where they should") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
-    RawConnection second(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
+    RawConnection second(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
     second.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(2));
+    REQUIRE(fixture.waitForRequests(2));
     bool close = false;
     SUBCASE("by the answer") {
         close = true;
     }
     SUBCASE("by the server") {
-        play.server->startClosing();
+        fixture.server->startDraining();
     }
-    for (const ServerPlay::Asked& asked : play.asked) asked.respond({200, {}, "ok", close});
-    REQUIRE(play.closes(client));
-    REQUIRE(play.closes(second));
+    for (const HttpServerFixture::PendingRequest& pending : fixture.requests)
+        pending.respond({200, {}, "ok", close});
+    REQUIRE(fixture.waitForClose(client));
+    REQUIRE(fixture.waitForClose(second));
     CHECK(client.count("Connection: close\r\n") == 1);
     CHECK(second.count("Connection: close\r\n") == 1);
     CHECK(bodyOf(client) == "ok");
 }
 
 TEST_CASE("a server that stops listening serves the connections it has") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
-    REQUIRE(runUntil(play.loop, [&] { return play.server->connections() == 1; }));
-    play.server->stopListening();
-    RawConnection refused(play.loop, play.server->address());
-    REQUIRE(play.closes(refused));
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
+    REQUIRE(runUntil(fixture.loop, [&] { return fixture.server->connections() == 1; }));
+    fixture.server->stopListening();
+    RawConnection refused(fixture.loop, fixture.server->address());
+    REQUIRE(fixture.waitForClose(refused));
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.asked[0].respond({200, {}, "ok", false});
-    REQUIRE(play.receives(client, "ok"));
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.requests[0].respond({200, {}, "ok", false});
+    REQUIRE(fixture.waitForText(client, "ok"));
 }
 
 TEST_CASE("answers without a body") {
-    ServerPlay play;
-    RawConnection client(play.loop, play.server->address());
+    HttpServerFixture fixture;
+    RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-    REQUIRE(play.askedTimes(1));
-    play.asked[0].respond({204, {}, "ignored", false});
-    REQUIRE(play.receives(client, "\r\n\r\n"));
+    REQUIRE(fixture.waitForRequests(1));
+    fixture.requests[0].respond({204, {}, "ignored", false});
+    REQUIRE(fixture.waitForText(client, "\r\n\r\n"));
     CHECK(client.count("Content-Length") == 0);
     CHECK(bodyOf(client).empty());
 }
 
 TEST_CASE("the client and the server of the cluster understand each other") {
     constexpr std::size_t kCalls = 50;
-    ServerPlay play;
-    EvhttpClient client(play.loop);
+    HttpServerFixture fixture;
+    EvhttpClient client(fixture.loop);
     std::size_t answered = 0;
     for (std::size_t index = 0; index < kCalls; ++index) {
         const std::string id = std::to_string(index);
         HttpCall call;
-        call.to = play.server->address();
+        call.to = fixture.server->address();
         call.request = {
             "PATCH", "/" + id, {{"Host", "h"}, {"Request-Id", id}}, std::string(index * 100, 'b')};
         call.timeout = Millis(5000);
@@ -220,14 +221,14 @@
             ++answered;
         });
     }
-    REQUIRE(play.askedTimes(kCalls));
-    for (auto asked = play.asked.rbegin(); asked != play.asked.rend(); ++asked) {
-        const std::string id(headerValue(asked->request.headers, "Request-Id"));
-        CHECK(asked->request.body.size() == 100 * std::stoul(id));
-        asked->respond({201, {{"Request-Id", id}}, "re " + id, false});
+    REQUIRE(fixture.waitForRequests(kCalls));
+    for (auto pending = fixture.requests.rbegin(); pending != fixture.requests.rend(); ++pending) {
+        const std::string id(headerValue(pending->request.headers, "Request-Id"));
+        CHECK(pending->request.body.size() == 100 * std::stoul(id));
+        pending->respond({201, {{"Request-Id", id}}, "re " + id, false});
     }
-    REQUIRE(runUntil(play.loop, [&] { return answered == kCalls; }));
-    CHECK(client.connectionsTo(play.server->address()) == kCalls);
+    REQUIRE(runUntil(fixture.loop, [&] { return answered == kCalls; }));
+    CHECK(client.connectionCount(fixture.server->address()) == kCalls);
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/posting_scheduler.hpp
+++ b/tests/cluster/manual_scheduler.hpp
@@ -15,7 +15,7 @@
 
 namespace amberswitch::cluster {
 
-class PostingScheduler : public Scheduler {
+class ManualScheduler : public Scheduler {
 public:
     SteadyTime now() const override { return SteadyTime(std::chrono::seconds(1000)); }
     std::int64_t wallMillis() const override { return 1'700'000'000'000; }
--- a/tests/cluster/metrics_test.cpp
+++ b/tests/cluster/metrics_test.cpp
@@ -6,14 +6,14 @@
 #include "cluster/common/invariant.hpp"
 #include "cluster/common/metrics_server.hpp"
 #include "cluster/common/metrics_text.hpp"
-#include "tests/cluster/http_play.hpp"
+#include "tests/cluster/http_fixtures.hpp"
 
 namespace amberswitch::cluster {
 
-using testing::answer;
-using testing::ClientPlay;
 using testing::closedAddress;
-using testing::HttpOutcomes;
+using testing::HttpClientFixture;
+using testing::HttpOutcomeRecorder;
+using testing::okResponse;
 using testing::RawServer;
 using testing::runUntil;
 
@@ -43,12 +43,12 @@
     const MetricsServer server(loop, address, [&asked] { return "asked " + std::to_string(++asked) + "\n"; });
     EvhttpClient client(loop);
     for (const std::string expected : {"asked 1\n", "asked 2\n"}) {
-        HttpOutcomes outcome;
+        HttpOutcomeRecorder outcome;
         HttpCall call;
         call.to = address;
         call.request = {"GET", "/metrics", {{"Host", "h"}}, ""};
-        client.send(call, outcome.hear());
-        REQUIRE(runUntil(loop, [&] { return outcome.times > 0; }));
+        client.send(call, outcome.callback());
+        REQUIRE(runUntil(loop, [&] { return outcome.completions > 0; }));
         REQUIRE(outcome.result.verdict == Verdict::answered);
         CHECK(outcome.result.response.status == 200);
         CHECK(outcome.result.response.body == expected);
@@ -63,15 +63,16 @@
 }
 
 TEST_CASE("an answer whose end cannot be told is counted") {
-    ClientPlay play;
-    HttpOutcomes outcome;
-    play.client.send(play.getWithId("mine"), outcome.hear());
-    REQUIRE(play.requested(0, 1));
-    play.at(0).send(answer("done", "Request-Id: mine\r\nContent-Length: 4\r\n"));  // two lengths
-    REQUIRE(play.ended(outcome));
+    HttpClientFixture fixture;
+    HttpOutcomeRecorder outcome;
+    fixture.client.send(fixture.getWithId("mine"), outcome.callback());
+    REQUIRE(fixture.waitForRequestsOn(0, 1));
+    fixture.serverConnection(0).send(
+        okResponse("done", "Request-Id: mine\r\nContent-Length: 4\r\n"));  // two lengths
+    REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::unknown);
-    CHECK(play.client.counters().answers_without_end == 1);
-    CHECK(play.client.counters().text().find("http_client_answers_without_end 1\n") != std::string::npos);
+    CHECK(fixture.client.counters().answers_without_end == 1);
+    CHECK(fixture.client.counters().text().find("http_client_answers_without_end 1\n") != std::string::npos);
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/ring_failure_test.cpp
+++ b/tests/cluster/ring_failure_test.cpp
@@ -74,7 +74,7 @@
     REQUIRE(harness.syncAndWait());
     harness.close();
     harness.disk().read_error = EIO;
-    PostingScheduler scheduler;
+    ManualScheduler scheduler;
     std::vector<Millis> pauses;
     const auto wait = [&](Millis pause) {
         pauses.push_back(pause);
--- a/tests/cluster/ring_harness.hpp
+++ b/tests/cluster/ring_harness.hpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "cluster/storage/ring_store.hpp"
-#include "tests/cluster/posting_scheduler.hpp"
+#include "tests/cluster/manual_scheduler.hpp"
 #include "tests/cluster/record_store_contract.hpp"
 #include "tests/cluster/ring_test_support.hpp"
 
@@ -78,7 +78,7 @@
     TemporaryFolder folder_;
     std::string directory_;
     WatchedDisk disk_;
-    PostingScheduler scheduler_;
+    ManualScheduler scheduler_;
     std::unique_ptr<RingStore> store_;
 };
 
--- a/tests/cluster/ring_store_test.cpp
+++ b/tests/cluster/ring_store_test.cpp
@@ -319,7 +319,7 @@
 }
 
 TEST_CASE("Options and folders that can't be used are refused") {
-    PostingScheduler scheduler;
+    ManualScheduler scheduler;
     ring_test::TemporaryFolder folder;
     CHECK_THROWS_AS(RingStore(scheduler, folder.path() + "/ring", {5 * 4096, 4096, 1}),
                     std::invalid_argument);
--- a/tests/cluster/simulation.hpp
+++ b/tests/cluster/simulation.hpp
@@ -166,16 +166,16 @@
     void cut(const std::string& from_ip, const std::string& to_ip) { cuts_.insert({from_ip, to_ip}); }
     void cutBoth(const std::string& a, const std::string& b) { cut(a, b), cut(b, a); }
     void isolate(const std::string& ip) { isolated_.insert(ip); }
-    void join(const std::string& ip) { isolated_.erase(ip); }
+    void endIsolation(const std::string& ip) { isolated_.erase(ip); }
     void heal(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
     void healAll() { cuts_.clear(), isolated_.clear(); }
     // Whether there is a way from one machine to the other, whatever is lost on it.
-    bool connects(const std::string& from, const std::string& to) const {
+    bool isReachable(const std::string& from, const std::string& to) const {
         if (isolated_.contains(from) != isolated_.contains(to)) return false;
         return !cuts_.contains({from, to});
     }
     // How long the machine's link needs to send so much, behind what waits there already.
-    Millis sendingTime(const std::string& from_ip, std::size_t bytes) {
+    Millis transmissionDelay(const std::string& from_ip, std::size_t bytes) {
         const auto link = link_bytes_per_ms.find(from_ip);
         if (link == link_bytes_per_ms.end()) return Millis(0);
         constexpr double kMicrosPerMilli = 1000;
@@ -190,15 +190,15 @@
 
 private:
     friend class MemoryTransport;
-    bool passes(const std::string& from, const std::string& to) {
-        return connects(from, to) && world_.chance() >= loss;
+    bool isDelivered(const std::string& from, const std::string& to) {
+        return isReachable(from, to) && world_.chance() >= loss;
     }
-    void whenAwake(const std::string& ip, const std::function<void()>& work) {
+    void runWhenAwake(const std::string& ip, const std::function<void()>& work) {
         const auto found = frozen_until_.find(ip);
         if (found == frozen_until_.end() || world_.now() >= found->second) return work();
         world_.at(found->second, work);
     }
-    Millis draw() {
+    Millis drawDelay() {
         return delay +
                Millis(static_cast<std::int64_t>(world_.chance() * static_cast<double>(jitter.count() + 1)));
     }
@@ -233,7 +233,7 @@
         const auto finish = [this, &network = network_, ip = self_.ip, alive = alive_, finished,
                              done = std::move(done)](const CallResult& result) {
             if (!*alive) return;
-            network.whenAwake(ip, [this, alive, finished, done, result] {
+            network.runWhenAwake(ip, [this, alive, finished, done, result] {
                 if (!*alive || std::exchange(*finished, true)) return;
                 if (world_.now() >= frozen_until_) return done(result);
                 world_.at(frozen_until_, [alive, done, result] {
@@ -243,12 +243,13 @@
         };
         world_.at(world_.now() + timeout, [finish] { finish({Verdict::unknown, {}}); });
         ++network_.requests;
-        if (!network_.passes(self_.ip, to.ip)) return;
+        if (!network_.isDelivered(self_.ip, to.ip)) return;
         network_.bytes_to[to.ip] += request.body.size();
-        send(to, request, network_.draw() + network_.sendingTime(self_.ip, request.body.size()), finish);
+        send(to, request, network_.drawDelay() + network_.transmissionDelay(self_.ip, request.body.size()),
+             finish);
         if (network_.duplication == 0 || world_.chance() >= network_.duplication) return;
         const double late = world_.chance() * static_cast<double>(network_.duplicate_delay.count());
-        send(to, request, network_.draw() + Millis(static_cast<std::int64_t>(late)),
+        send(to, request, network_.drawDelay() + Millis(static_cast<std::int64_t>(late)),
              [](const CallResult&) {});
     }
 
@@ -257,7 +258,7 @@
               const std::function<void(const CallResult&)>& finish) {
         world_.at(world_.now() + delay, [this, alive = alive_, to, request, finish] {
             if (*alive)
-                network_.whenAwake(to.ip, [this, alive, to, request, finish] {
+                network_.runWhenAwake(to.ip, [this, alive, to, request, finish] {
                     if (*alive) arrive(to, request, finish);
                 });
         });
@@ -265,7 +266,7 @@
     void arrive(const NodeAddress& to, const Envelope& request,
                 const std::function<void(const CallResult&)>& finish) {
         const auto peer = network_.listeners_.find(to);
-        if (network_.cuts_in_flight && !network_.connects(self_.ip, to.ip)) return;
+        if (network_.cuts_in_flight && !network_.isReachable(self_.ip, to.ip)) return;
         if (peer == network_.listeners_.end() || !peer->second->handler_)
             return finish({Verdict::not_executed, {}});
         World& world = world_;
@@ -279,11 +280,11 @@
             return;
         }
         peer->second->handler_(request, [&world, &network, from, to, finish, callee_alive](Envelope reply) {
-            if (!*callee_alive || !network.passes(to.ip, from)) return;
+            if (!*callee_alive || !network.isDelivered(to.ip, from)) return;
             network.bytes_to[from] += reply.body.size();
-            const Millis delay = network.draw() + network.sendingTime(to.ip, reply.body.size());
+            const Millis delay = network.drawDelay() + network.transmissionDelay(to.ip, reply.body.size());
             world.at(world.now() + delay, [&network, from, to, finish, reply = std::move(reply)] {
-                if (network.cuts_in_flight && !network.connects(to.ip, from)) return;
+                if (network.cuts_in_flight && !network.isReachable(to.ip, from)) return;
                 finish({Verdict::answered, reply});
             });
         });
--- a/tests/cluster/store_chaos_test.cpp
+++ b/tests/cluster/store_chaos_test.cpp
@@ -28,7 +28,7 @@
     void mend() {
         for (const std::size_t i : struck_) {
             StoreMachine& machine = *play_.machines[i];
-            play_.network.join(machine.address.ip);
+            play_.network.endIsolation(machine.address.ip);
             play_.hidden.erase(machine.name);
             if (machine.leaving) play_.stop(machine);
             if (!machine.process) play_.start(machine);
--- a/tests/cluster/store_node_test.cpp
+++ b/tests/cluster/store_node_test.cpp
@@ -191,7 +191,7 @@
     play.hidden.insert(cut.name);
     play.changeView();
     play.world.run(Millis(1500));
-    play.network.join(cut.address.ip);  // back, still without the view
+    play.network.endIsolation(cut.address.ip);  // back, still without the view
     request.content.id = "later";
     client.call(cut.address, envelope(MessageKind::accept_message, request), Millis(5000),
                 [&](const CallResult& result) { answer = decode<AcceptMessageReply>(result.reply.body); });
--- a/tests/cluster/store_plays.hpp
+++ b/tests/cluster/store_plays.hpp
@@ -92,7 +92,7 @@
         stores.hidden.insert(machine.name);
     }
     void join(StoreMachine& machine) {
-        stores.network.join(machine.address.ip);
+        stores.network.endIsolation(machine.address.ip);
         stores.hidden.erase(machine.name);
     }
     // Its process stands still; what reaches it waits.
--- a/tests/cluster/transport_test.cpp
+++ b/tests/cluster/transport_test.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 
 #include "cluster/common/tcp_transport.hpp"
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 #include "tests/cluster/simulation.hpp"
 #include "tests/cluster/transport_contract.hpp"
 
@@ -26,7 +26,7 @@
     }
     NodeAddress callerAddress() const { return {"10.0.0.1", 1}; }
     NodeAddress calleeAddress() const { return {"10.0.0.2", 1}; }
-    NodeAddress nobody() const { return {"10.0.0.3", 1}; }
+    NodeAddress unusedAddress() const { return {"10.0.0.3", 1}; }
     void startCallee() {
         callee = std::make_unique<simulation::MemoryTransport>(world_, network_, calleeAddress());
     }
@@ -46,16 +46,16 @@
 public:
     TcpFixture() : callee_address_{"127.0.0.1", 0} {
         auto made = std::make_unique<TcpTransport>(loop, NodeAddress{"127.0.0.1", 0});
-        caller_address_ = made->self();
+        caller_address_ = made->address();
         caller = std::move(made);
         startCallee();
     }
     NodeAddress callerAddress() const { return caller_address_; }
     NodeAddress calleeAddress() const { return callee_address_; }
-    NodeAddress nobody() const { return nobody_; }
+    NodeAddress unusedAddress() const { return unused_address_; }
     void startCallee() {
         auto made = std::make_unique<TcpTransport>(loop, callee_address_);
-        callee_address_ = made->self();
+        callee_address_ = made->address();
         callee = std::move(made);
     }
     void stopCallee() { callee.reset(); }
@@ -66,17 +66,17 @@
 private:
     NodeAddress caller_address_;
     NodeAddress callee_address_;
-    NodeAddress nobody_ = closedAddress();
+    NodeAddress unused_address_ = closedAddress();
 
 public:
     std::unique_ptr<Transport> caller;
     std::unique_ptr<Transport> callee;
 };
 
+using contract::CallRecorder;
 using contract::echo;
-using contract::kImpatient;
-using contract::kPatient;
-using contract::Outcome;
+using contract::kLongTimeout;
+using contract::kShortTimeout;
 
 std::string frameBytes(std::uint32_t length, std::uint64_t id, std::uint16_t kind, unsigned flags,
                        const std::string& body) {
@@ -88,7 +88,7 @@
 }
 
 std::string goodFrame(std::uint64_t id, unsigned flags, const std::string& body) {
-    return frameBytes(static_cast<std::uint32_t>(kFrameHeadBytes + body.size()), id, 5, flags, body);
+    return frameBytes(static_cast<std::uint32_t>(kFrameHeaderBytes + body.size()), id, 5, flags, body);
 }
 
 }  // namespace
@@ -122,15 +122,15 @@
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome first;
-    Outcome second;
-    transport.call(server.address, {5, "one"}, kPatient, first.hear());
-    transport.call(server.address, {5, "two"}, kPatient, second.hear());
+    CallRecorder first;
+    CallRecorder second;
+    transport.call(server.address, {5, "one"}, kLongTimeout, first.callback());
+    transport.call(server.address, {5, "two"}, kLongTimeout, second.callback());
     const std::string expected = goodFrame(1, 0, "one") + goodFrame(2, 0, "two");
     REQUIRE(runUntil(
         loop, [&] { return !server.connections.empty() && server.connections[0]->received == expected; }));
     server.connections[0]->send(goodFrame(2, 1, "2") + goodFrame(77, 1, "nobody's") + goodFrame(1, 1, "1"));
-    REQUIRE(runUntil(loop, [&] { return first.times > 0 && second.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return first.completions > 0 && second.completions > 0; }));
     CHECK(first.result.reply.body == "1");
     CHECK(second.result.reply.body == "2");
     CHECK(server.connections.size() == 1);
@@ -140,9 +140,9 @@
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome lost;
+    CallRecorder lost;
     const SteadyTime start = loop.now();
-    transport.call(server.address, {5, "one"}, kPatient, lost.hear());
+    transport.call(server.address, {5, "one"}, kLongTimeout, lost.callback());
     REQUIRE(runUntil(
         loop, [&] { return !server.connections.empty() && !server.connections[0]->received.empty(); }));
     SUBCASE("closed") {
@@ -151,15 +151,15 @@
     SUBCASE("reset") {
         server.connections[0]->reset();
     }
-    REQUIRE(runUntil(loop, [&] { return lost.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return lost.completions > 0; }));
     CHECK(lost.result.verdict == Verdict::unknown);
     CHECK(loop.now() - start < Millis(2000));
-    Outcome next;
-    transport.call(server.address, {5, "two"}, kPatient, next.hear());
+    CallRecorder next;
+    transport.call(server.address, {5, "two"}, kLongTimeout, next.callback());
     REQUIRE(runUntil(
         loop, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
     server.connections[1]->send(goodFrame(2, 1, "ok"));
-    REQUIRE(runUntil(loop, [&] { return next.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return next.completions > 0; }));
     CHECK(next.result.verdict == Verdict::answered);
 }
 
@@ -167,32 +167,32 @@
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome before;
-    transport.call(server.address, {5, "one"}, kPatient, before.hear());
+    CallRecorder before;
+    transport.call(server.address, {5, "one"}, kLongTimeout, before.callback());
     REQUIRE(runUntil(
         loop, [&] { return !server.connections.empty() && !server.connections[0]->received.empty(); }));
     server.connections[0]->reset();
-    REQUIRE(runUntil(loop, [&] { return before.times > 0; }));
-    Outcome after;
-    transport.call(server.address, {5, "two"}, kPatient, after.hear());
+    REQUIRE(runUntil(loop, [&] { return before.completions > 0; }));
+    CallRecorder after;
+    transport.call(server.address, {5, "two"}, kLongTimeout, after.callback());
     REQUIRE(runUntil(
         loop, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
     // A call has a number of its own for as long as the process lives, and is never sent again.
     CHECK(server.connections[1]->received == goodFrame(2, 0, "two"));
     server.connections[1]->send(goodFrame(1, 1, "late"));
     server.connections[1]->send(goodFrame(2, 1, "own") + goodFrame(2, 1, "own again"));
-    REQUIRE(runUntil(loop, [&] { return after.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return after.completions > 0; }));
     CHECK(after.result.reply.body == "own");
-    Outcome last;
-    transport.call(server.address, {5, "three"}, kPatient, last.hear());
+    CallRecorder last;
+    transport.call(server.address, {5, "three"}, kLongTimeout, last.callback());
     REQUIRE(runUntil(loop, [&] { return server.connections[1]->count("three") == 1; }));
-    CHECK(last.times == 0);
+    CHECK(last.completions == 0);
     server.connections[1]->send(goodFrame(3, 1, "third"));
-    REQUIRE(runUntil(loop, [&] { return last.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return last.completions > 0; }));
     CHECK(last.result.reply.body == "third");
-    CHECK(before.times == 1);
+    CHECK(before.completions == 1);
     CHECK(before.result.verdict == Verdict::unknown);
-    CHECK(after.times == 1);
+    CHECK(after.completions == 1);
 }
 
 TEST_CASE("tcp: an answer goes to the connection of its request, or to none") {
@@ -200,7 +200,7 @@
     TcpTransport transport(loop, {"127.0.0.1", 0});
     std::vector<Responder> waiting;
     transport.serve([&](const Envelope&, Responder respond) { waiting.push_back(std::move(respond)); });
-    RawConnection first(loop, transport.self());
+    RawConnection first(loop, transport.address());
     first.send(goodFrame(1, 0, "one"));
     REQUIRE(runUntil(loop, [&] { return waiting.size() == 1; }));
     SUBCASE("closed") {
@@ -210,7 +210,7 @@
         first.reset();
     }
     // The same caller again, which counts its calls from the start, as a new process does.
-    RawConnection second(loop, transport.self());
+    RawConnection second(loop, transport.address());
     second.send(goodFrame(1, 0, "another"));
     REQUIRE(runUntil(loop, [&] { return waiting.size() == 2; }));
     waiting[0]({5, "to the first"});
@@ -225,15 +225,15 @@
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
     const std::string large(40'000'000, 'x');
-    Outcome first;
-    Outcome last;
-    transport.call(server.address, {5, large}, kPatient, first.hear());
+    CallRecorder first;
+    CallRecorder last;
+    transport.call(server.address, {5, large}, kLongTimeout, first.callback());
     REQUIRE(runUntil(loop, [&] { return server.connections.size() == 1; }));
     server.connections[0]->stopReading();
-    transport.call(server.address, {5, "behind it"}, kPatient, last.hear());
+    transport.call(server.address, {5, "behind it"}, kLongTimeout, last.callback());
     loop.runOnce();
     server.connections[0]->reset();
-    REQUIRE(runUntil(loop, [&] { return first.times > 0 && last.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return first.completions > 0 && last.completions > 0; }));
     CHECK(first.result.verdict == Verdict::unknown);
     CHECK(last.result.verdict == Verdict::not_executed);
 }
@@ -242,16 +242,16 @@
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome quick;
-    Outcome slow;
-    Outcome open;
-    transport.call(server.address, {5, "quick"}, kImpatient, quick.hear());
-    transport.call(server.address, {5, "slow"}, Millis(1100), slow.hear());
-    transport.call(server.address, {5, "open"}, kPatient, open.hear());
-    REQUIRE(runUntil(loop, [&] { return quick.times > 0; }));
+    CallRecorder quick;
+    CallRecorder slow;
+    CallRecorder open;
+    transport.call(server.address, {5, "quick"}, kShortTimeout, quick.callback());
+    transport.call(server.address, {5, "slow"}, Millis(1100), slow.callback());
+    transport.call(server.address, {5, "open"}, kLongTimeout, open.callback());
+    REQUIRE(runUntil(loop, [&] { return quick.completions > 0; }));
     CHECK(quick.result.verdict == Verdict::unknown);
     CHECK_FALSE(server.connections[0]->closed);  // silent for a moment only
-    REQUIRE(runUntil(loop, [&] { return open.times > 0; }));
+    REQUIRE(runUntil(loop, [&] { return open.completions > 0; }));
     CHECK(slow.result.verdict == Verdict::unknown);
     CHECK(open.result.verdict == Verdict::unknown);
     REQUIRE(runUntil(loop, [&] { return server.connections[0]->closed; }));
@@ -267,15 +267,15 @@
     RawConnection second_filler(loop, address);
     loop.runOnce();
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome quick;
-    Outcome patient;
+    CallRecorder quick;
+    CallRecorder patient;
     const SteadyTime start = loop.now();
-    transport.call(address, {5, "quick"}, kImpatient, quick.hear());
-    transport.call(address, {5, "patient"}, kPatient, patient.hear());
-    REQUIRE(runUntil(loop, [&] { return quick.times > 0; }));
+    transport.call(address, {5, "quick"}, kShortTimeout, quick.callback());
+    transport.call(address, {5, "patient"}, kLongTimeout, patient.callback());
+    REQUIRE(runUntil(loop, [&] { return quick.completions > 0; }));
     CHECK(quick.result.verdict == Verdict::not_executed);
-    CHECK(patient.times == 0);
-    REQUIRE(runUntil(loop, [&] { return patient.times > 0; }));
+    CHECK(patient.completions == 0);
+    REQUIRE(runUntil(loop, [&] { return patient.completions > 0; }));
     CHECK(patient.result.verdict == Verdict::not_executed);
     CHECK(loop.now() - start >= Millis(300));
     CHECK(loop.now() - start < Millis(900));
@@ -284,12 +284,12 @@
 TEST_CASE("tcp: frames are read in any pieces") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    std::vector<std::string> heard;
+    std::vector<std::string> handled;
     transport.serve([&](const Envelope& request, const Responder& respond) {
-        heard.push_back(request.body);
+        handled.push_back(request.body);
         respond({5, "got " + request.body});
     });
-    RawConnection client(loop, transport.self());
+    RawConnection client(loop, transport.address());
     const std::string bytes = goodFrame(1, 0, "first") + goodFrame(2, 0, "") + goodFrame(3, 0, "third");
     for (const char letter : bytes) {
         client.send(std::string(1, letter));
@@ -299,52 +299,52 @@
         goodFrame(1, 1, "got first") + goodFrame(2, 1, "got ") + goodFrame(3, 1, "got third");
     REQUIRE(runUntil(loop, [&] { return client.received.size() == answers.size(); }));
     CHECK(client.received == answers);
-    CHECK(heard == std::vector<std::string>{"first", "", "third"});
+    CHECK(handled == std::vector<std::string>{"first", "", "third"});
 }
 
 TEST_CASE("tcp: what is not a frame closes the connection and reaches no handler") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    int heard = 0;
-    transport.serve([&](const Envelope&, const Responder&) { ++heard; });
-    RawConnection client(loop, transport.self());
+    int handled = 0;
+    transport.serve([&](const Envelope&, const Responder&) { ++handled; });
+    RawConnection client(loop, transport.address());
     SUBCASE("over the limit") {
         client.send(frameBytes(kMaxFrameBytes + 1, 1, 5, 0, ""));
     }
     SUBCASE("too short") {
-        client.send(frameBytes(kFrameHeadBytes - 1, 1, 5, 0, ""));
+        client.send(frameBytes(kFrameHeaderBytes - 1, 1, 5, 0, ""));
     }
     SUBCASE("unknown flags") {
-        client.send(frameBytes(kFrameHeadBytes, 1, 5, 6, ""));
+        client.send(frameBytes(kFrameHeaderBytes, 1, 5, 6, ""));
     }
     SUBCASE("text") {
         client.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     REQUIRE(runUntil(loop, [&] { return client.closed; }));
-    CHECK(heard == 0);
+    CHECK(handled == 0);
 }
 
 TEST_CASE("tcp: a request cut short reaches no handler") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    int heard = 0;
-    transport.serve([&](const Envelope&, const Responder&) { ++heard; });
-    RawConnection client(loop, transport.self());
+    int handled = 0;
+    transport.serve([&](const Envelope&, const Responder&) { ++handled; });
+    RawConnection client(loop, transport.address());
     client.send(goodFrame(1, 0, "cut short").substr(0, 20));
     REQUIRE(runUntil(loop, [&] { return client.sentAll(); }));
     client.shutdownSending();
     REQUIRE(runUntil(loop, [&] { return client.closed; }));
-    CHECK(heard == 0);
+    CHECK(handled == 0);
 }
 
 TEST_CASE("tcp: a body over the limit is refused by the caller") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
-    Outcome outcome;
-    CHECK_THROWS_AS(
-        transport.call(transport.self(), {5, std::string(kMaxBodyBytes + 1, 'x')}, kPatient, outcome.hear()),
-        std::length_error);
-    CHECK(outcome.times == 0);
+    CallRecorder outcome;
+    CHECK_THROWS_AS(transport.call(transport.address(), {5, std::string(kMaxBodyBytes + 1, 'x')},
+                                   kLongTimeout, outcome.callback()),
+                    std::length_error);
+    CHECK(outcome.completions == 0);
 }
 
 TEST_CASE("tcp: an address that cannot be listened on is an error that names it") {
--- a/tests/history/fault_plan.hpp
+++ b/tests/history/fault_plan.hpp
@@ -218,7 +218,7 @@
         network().isolate(ip);
         endAfter(drawCut(), [this, ip] {
             world_.note("joined again: " + ip);
-            network().join(ip);
+            network().endIsolation(ip);
         });
     }
     void cutOneWay(CoreMachine& machine) {
--- a/tests/history/message_play.hpp
+++ b/tests/history/message_play.hpp
@@ -151,7 +151,7 @@
         note("cut from all: " + machine.name);
         play_.network.isolate(machine.address.ip);
         play_.hidden.insert(machine.name);
-        endAfter(drawSpan(), machine, [this, &machine] { play_.network.join(machine.address.ip); });
+        endAfter(drawSpan(), machine, [this, &machine] { play_.network.endIsolation(machine.address.ip); });
     }
     void cutPair(StoreMachine& machine) {
         StoreMachine& other = *play_.machines[play_.world.random()() % play_.machines.size()];
--- a/tests/history/play_world.hpp
+++ b/tests/history/play_world.hpp
@@ -194,7 +194,7 @@
 
     bool connected(const std::string& left, const std::string& right) const {
         return left == right ||
-               (control.network.connects(left, right) && control.network.connects(right, left));
+               (control.network.isReachable(left, right) && control.network.isReachable(right, left));
     }
     bool works(const CoreMachine& machine) const {
         return !gone_.contains(&machine) && machine.runs() && !isFrozen(machine);
--- a/tests/history/ring_power_test.cpp
+++ b/tests/history/ring_power_test.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cluster/storage/ring_store.hpp"
-#include "tests/cluster/posting_scheduler.hpp"
+#include "tests/cluster/manual_scheduler.hpp"
 #include "tests/history/disk_journal.hpp"
 #include "tests/history/seeds.hpp"
 
@@ -43,7 +43,7 @@
     }
 
 private:
-    PostingScheduler scheduler_;
+    ManualScheduler scheduler_;
     RingStore store_;
 };
 
--- a/tests/history/voter_disk_test.cpp
+++ b/tests/history/voter_disk_test.cpp
@@ -11,7 +11,7 @@
 
 #include "cluster/control/register_voter.hpp"
 #include "cluster/storage/ring_store.hpp"
-#include "tests/cluster/posting_scheduler.hpp"
+#include "tests/cluster/manual_scheduler.hpp"
 #include "tests/history/disk_journal.hpp"
 
 using namespace amberswitch::cluster;
@@ -58,7 +58,7 @@
     }
 
     std::string folder_;
-    PostingScheduler scheduler_;
+    ManualScheduler scheduler_;
     std::unique_ptr<RingStore> ring_;
     std::unique_ptr<RegisterVoter> voter_;
 };
--- a/tests/soak/faulty_server.hpp
+++ b/tests/soak/faulty_server.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cluster/common/http.hpp"
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 
 namespace amberswitch::cluster::testing {
 
--- a/tests/soak/kept_connection.hpp
+++ b/tests/soak/kept_connection.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 
 namespace amberswitch::cluster::testing {
 
--- a/tests/soak/raw_call.hpp
+++ b/tests/soak/raw_call.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "tests/cluster/loop_peers.hpp"
+#include "tests/cluster/loopback_peers.hpp"
 
 namespace amberswitch::cluster::testing {
 
