--- a/src/cluster/common/event_loop.cpp
+++ b/src/cluster/common/event_loop.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// So that work that posts more work does not keep the sockets waiting.
+// Bounds the callbacks between two polls, so that work that posts more work does not delay socket events.
 constexpr int kCallbacksBetweenPolls = 1000;
 
 using Micros = std::chrono::microseconds;
@@ -31,18 +31,18 @@
     evthread_use_pthreads();
     const std::unique_ptr<event_config, void (*)(event_config*)> config(event_config_new(),
                                                                         event_config_free);
-    if (!config) throw std::runtime_error("event loop: no memory for its settings");
-    // Saves a system call wherever an event is removed and added again in one turn. It requires that no
-    // descriptor of the base is ever duplicated.
+    if (!config) throw std::runtime_error("event loop: out of memory for the event configuration");
+    // Saves a system call whenever an event is removed and added again within one loop iteration. Requires
+    // that no file descriptor registered with the base is ever duplicated.
     event_config_set_flag(config.get(), EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
     event_config_set_max_dispatch_interval(config.get(), nullptr, kCallbacksBetweenPolls, 0);
     EventBaseHandle base(event_base_new_with_config(config.get()));
-    if (!base) throw std::runtime_error("event loop: no event base");
+    if (!base) throw std::runtime_error("event loop: could not create the event base");
     return base;
 }
 
-// One pending timer. libevent's clock is coarse and cached for a turn, so a timer that fires early waits
-// again.
+// A pending timer. libevent's clock is coarse and cached during a loop iteration, so the event may fire
+// before the timer is due; it is then armed again for the remaining time.
 class LoopTimer : public Timer {
 public:
     LoopTimer(EventLoop& loop, Millis delay, std::function<void()> work)
@@ -64,7 +64,8 @@
         const Micros remaining = due_ - loop_.now();
         if (remaining > Micros(0)) return arm(remaining);
         EventLoop& loop = loop_;
-        const std::function<void()> work = std::move(work_);  // it may destroy this timer
+        // A local copy, because the work may destroy this timer.
+        const std::function<void()> work = std::move(work_);
         loop.guard(work);
     }
 
@@ -90,7 +91,7 @@
 EventLoop::EventLoop() : base_(createEventBase()) {
     std::signal(SIGPIPE, SIG_IGN);
     posted_event_.reset(event_new(base_.get(), -1, 0, &EventLoop::onPosted, this));
-    if (!posted_event_) throw std::runtime_error("event loop: no event for posted work");
+    if (!posted_event_) throw std::runtime_error("event loop: could not create the event for posted work");
 }
 
 EventLoop::~EventLoop() = default;
@@ -139,7 +140,8 @@
     auto handler = std::make_unique<SignalHandler>(SignalHandler{*this, std::move(callback), nullptr});
     handler->handle.reset(evsignal_new(base_.get(), signal, &SignalHandler::onEvent, handler.get()));
     if (!handler->handle || event_add(handler->handle.get(), nullptr) != 0) {
-        throw std::runtime_error("event loop: signal " + std::to_string(signal) + " cannot be handled");
+        throw std::runtime_error("event loop: signal " + std::to_string(signal) +
+                                 ": could not install the handler");
     }
     signal_handlers_.push_back(std::move(handler));
 }
--- a/src/cluster/common/event_loop.hpp
+++ b/src/cluster/common/event_loop.hpp
@@ -1,4 +1,4 @@
-// The scheduler of a real process: one libevent event base, run by one thread.
+// The production Scheduler: a libevent event base that is run by one thread.
 #pragma once
 
 #include <event2/event.h>
@@ -22,12 +22,13 @@
 using EventBaseHandle = std::unique_ptr<event_base, EventBaseDeleter>;
 using EventHandle = std::unique_ptr<event, EventDeleter>;
 
-// Timers, posted work and signals on an event base. The process ignores SIGPIPE from then on. Timers run a
-// few milliseconds late at most, never early. An exception that leaves a callback ends run() and is thrown
-// from it. All timers and everything built on base() must be destroyed before the loop.
+// Runs timers, posted work and signal handlers on an event base. Constructing one makes the process ignore
+// SIGPIPE. Timers never run early, and a few milliseconds late at most. An exception thrown by a callback
+// stops run(), which rethrows it. All timers and all objects that use base() must be destroyed before the
+// loop.
 class EventLoop : public Scheduler {
 public:
-    // Throws std::runtime_error if the event base cannot be made.
+    // Throws std::runtime_error if the event base cannot be created.
     EventLoop();
     ~EventLoop() override;
     EventLoop(const EventLoop&) = delete;
@@ -40,15 +41,17 @@
 
     // Dispatches events until stop() is called.
     void run();
-    // Makes run() return after the callback that runs now. On the loop's thread only; use post() from others.
+    // Makes run() return after the current callback. Call it on the loop's thread only; from other threads,
+    // use post().
     void stop();
-    // Waits for events once and dispatches those that are ready.
+    // Waits until at least one event is ready and dispatches all that are.
     void runOnce();
 
-    // Runs the callback on the loop whenever the signal arrives.
+    // Runs the callback on the loop's thread whenever the signal arrives. Throws std::runtime_error.
     void onSignal(int signal, std::function<void()> callback);
 
-    // Runs `work` and keeps an exception that it throws for run(): callbacks of libevent must not throw.
+    // Runs `work` and stores an exception that it throws, which run() rethrows: exceptions must not propagate
+    // through libevent.
     template <class Work>
     void guard(const Work& work) {
         try {
--- a/src/cluster/common/evhttp_client.cpp
+++ b/src/cluster/common/evhttp_client.cpp
@@ -25,16 +25,16 @@
 constexpr Millis kDefaultKeepAlive{5000};
 constexpr Millis kMaxKeepAlive{60'000};
 constexpr Millis kKeepAliveMargin{500};
-constexpr int kKeepAliveMarginDivisor = 3;  // a third of a short time
+constexpr int kKeepAliveMarginDivisor = 3;  // the margin is at most a third of the keep-alive time
 constexpr std::string_view kRequestIdHeader = "Request-Id";
 constexpr ev_ssize_t kMaxHeaderBytes = 64 * 1024;
 constexpr ev_ssize_t kMaxBodyBytes = 64 * 1024 * 1024;
 constexpr int kFirstFinalStatus = 200;
-constexpr std::size_t kMaxCarriedIds = 16;        // of what a connection carried
-constexpr std::size_t kMaxDroppedResponses = 16;  // for one call; a server that sends more is broken
+constexpr std::size_t kMaxCarriedIds = 16;        // Request-Ids remembered per connection
+constexpr std::size_t kMaxDroppedResponses = 16;  // per call; a server that sends more is faulty
 constexpr int kLogIntervalSeconds = 10;
 
-// The time for which the server keeps an idle connection.
+// How long the server keeps an idle connection open, by its Keep-Alive header.
 Millis keepAliveTimeout(const HttpHeaders& headers) {
     constexpr std::string_view kTimeout = "timeout=";
     const std::string_view value = headerValue(headers, "Keep-Alive");
@@ -62,7 +62,8 @@
     if (ids.size() > kMaxCarriedIds) ids.pop_front();
 }
 
-// Whether nothing arrived on an idle connection: no stray bytes, no end and no error.
+// Whether an idle connection can carry another request: no unexpected bytes, end of stream or error are
+// pending.
 bool isReusable(evhttp_connection* handle) {
     bufferevent* stream = evhttp_connection_get_bufferevent(handle);
     const evutil_socket_t socket = bufferevent_getfd(stream);
@@ -71,12 +72,12 @@
     return recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-// What was read of the connection and is no part of the response that was handed over last.
+// The number of bytes received after the latest response.
 std::size_t unreadBytes(evhttp_connection* handle) {
     return evbuffer_get_length(bufferevent_get_input(evhttp_connection_get_bufferevent(handle)));
 }
 
-// Whether the bytes that were read and not used hold this id, as an answer to its call would.
+// Whether the received, unparsed bytes contain the id, as the response to its call would.
 bool unreadInputContains(evhttp_connection* handle, const std::string& id) {
     evbuffer* const input = bufferevent_get_input(evhttp_connection_get_bufferevent(handle));
     return evbuffer_search(input, id.data(), id.size(), nullptr).pos >= 0;
@@ -101,7 +102,7 @@
 
 EvhttpClient::EvhttpClient(EventLoop& loop) : loop_(loop) {
     reap_event_.reset(event_new(loop.base(), -1, 0, &EvhttpClient::onReap, this));
-    if (!reap_event_) throw std::runtime_error("HTTP client: no memory");
+    if (!reap_event_) throw std::runtime_error("HTTP client: out of memory");
 }
 
 EvhttpClient::~EvhttpClient() {
@@ -148,7 +149,7 @@
     const std::vector<Connection*> newest_first(idle.rbegin(), idle.rend());
     for (Connection* connection : newest_first) {
         if (!isReusable(connection->handle.get())) {
-            retire(*connection);  // may free the pool
+            retire(*connection);  // may erase the pool
         } else if (!hasCarriedId(connection->carried_ids, request_id)) {
             std::erase(pools_.at(address).idle, connection);
             return connection;
@@ -165,7 +166,7 @@
 EvhttpClient::Connection& EvhttpClient::openConnection(const NodeAddress& address) {
     evhttp_connection* handle =
         evhttp_connection_base_new(loop_.base(), nullptr, address.ip.c_str(), address.port);
-    if (handle == nullptr) throw std::runtime_error("HTTP client: no memory for a connection");
+    if (handle == nullptr) throw std::runtime_error("HTTP client: out of memory for a connection");
     ++counters_.connections_opened;
     auto connection = std::make_unique<Connection>(Connection{*this, address, {}});
     connection->handle.reset(handle);
@@ -214,7 +215,8 @@
     if (connection.connected) scheduleWrite(evhttp_connection_get_bufferevent(connection.handle.get()));
 }
 
-// The request is written into the stream of a new connection as soon as it is connected.
+// evhttp writes the request into the output buffer of a new connection once it is connected, so the first
+// output tells that the connection is established.
 void EvhttpClient::onOutput(evbuffer*, const evbuffer_cb_info* info, void* connection) {
     auto* target = static_cast<Connection*>(connection);
     if (info->n_added > 0 && !target->connected) target->client.handleConnected(*target);
@@ -241,7 +243,7 @@
     client.loop_.guard([&] { client.handleResponse(*target, response); });
 }
 
-// evhttp gives no message where a connection broke, and a status of 0 where none could be made.
+// evhttp passes no message if the connection broke, and a status of 0 if it could not be established.
 void EvhttpClient::handleResponse(Connection& connection, evhttp_request* response) {
     if (!connection.exchange) return;
     const int status = response == nullptr ? 0 : evhttp_request_get_response_code(response);
@@ -303,9 +305,10 @@
         ++(is_earlier ? counters_.answers_of_earlier_calls : counters_.answers_of_unknown_calls);
     }
     LOG_EVERY_T(WARNING, kLogIntervalSeconds)
-        << "an answer of " << connection.to.text() << " with status " << answer.status << " and id '" << id
-        << "' is not that of call '" << expected << "'" << (is_earlier ? ", but an earlier call's" : "")
-        << "; " << unread_bytes << " bytes behind it, call " << connection.calls << " on its connection";
+        << "response from " << connection.to.text() << " with status " << answer.status << " and Request-Id '"
+        << id << "' does not match call '" << expected << "'" << (is_earlier ? ", but an earlier call" : "")
+        << "; " << unread_bytes << " unread bytes follow; call number " << connection.calls
+        << " on this connection";
 }
 
 void EvhttpClient::checkOwnResponseNotDropped(const Connection& connection) {
@@ -342,7 +345,7 @@
     target->client.handleClosed(*target);
 }
 
-// The end of a connection that carries a request is told by its response.
+// If the connection carries a request, evhttp also reports its end through onResponse().
 void EvhttpClient::handleClosed(Connection& connection) {
     if (!connection.exchange) retire(connection);
 }
--- a/src/cluster/common/evhttp_message.cpp
+++ b/src/cluster/common/evhttp_message.cpp
@@ -38,7 +38,7 @@
     return character >= '0' && character <= '9';
 }
 
-// RFC 9110: what a header name is made of.
+// A token character by RFC 9110; header names consist of these.
 bool isTokenCharacter(char character) {
     constexpr std::string_view kSymbols = "!#$%&'*+-.^_`|~";
     const bool is_letter = (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z');
@@ -89,7 +89,7 @@
     evkeyvalq* output = evhttp_request_get_output_headers(message);
     for (const HttpHeader& header : headers) {
         if (evhttp_add_header(output, header.name.c_str(), header.value.c_str()) != 0) {
-            throw std::invalid_argument("header " + header.name + " cannot be sent");
+            throw std::invalid_argument("header " + header.name + " is not valid");
         }
     }
 }
--- a/src/cluster/common/evhttp_server.cpp
+++ b/src/cluster/common/evhttp_server.cpp
@@ -35,7 +35,8 @@
     return value;
 }
 
-// Of a request: evhttp takes what follows the header of any other one for the next request.
+// Whether evhttp reads a request body for this method. After a HEAD or TRACE request it parses a body as the
+// next request.
 bool isRequestBodyRead(evhttp_cmd_type method) {
     return method != EVHTTP_REQ_HEAD && method != EVHTTP_REQ_TRACE;
 }
@@ -45,8 +46,8 @@
     return !is_head && status != kNoContent && status != kNotModified;
 }
 
-// Whether the bytes received of a header hold its end. evhttp takes whole lines out of the input at once, so
-// the input begins at the start of a line.
+// Whether the received part of a header contains its end. evhttp consumes complete lines at once, so the
+// input begins at the start of a line.
 bool containsHeaderEnd(evbuffer* input) {
     std::array<char, 2> first{};
     const ev_ssize_t copied = evbuffer_copyout(input, first.data(), first.size());
@@ -58,8 +59,8 @@
     return holds("\n\r\n") || holds("\n\n");
 }
 
-// Whether the first bytes of a request can still be a method that is served. evhttp would answer any other
-// one with a status of 0.
+// Whether the first bytes of a request are, or may become, a supported method. evhttp would respond to any
+// other method with a status of 0.
 bool mayBeServedMethod(evbuffer* input) {
     std::array<char, 8> first{};
     const ev_ssize_t copied = evbuffer_copyout(input, first.data(), first.size());
@@ -71,19 +72,19 @@
 
 }  // namespace
 
-// One request that the handler has; shared with its responder.
+// A request passed to the handler; shared with its responder.
 struct EvhttpServer::Exchange {
     EvhttpServer* server = nullptr;
     Connection* connection = nullptr;
-    evhttp_request* request = nullptr;  // null once it is answered or its connection is gone
+    evhttp_request* request = nullptr;  // null once answered, or once the connection is closed
 };
 
 struct EvhttpServer::Connection {
     EvhttpServer& server;
     bufferevent* stream;
-    std::shared_ptr<Exchange> exchange;             // from the request until its answer is written
-    std::optional<SteadyTime> header_started = {};  // the header is being received
-    bool in_request = false;  // from the first byte of a request until its answer is written
+    std::shared_ptr<Exchange> exchange;             // from the request until its response is written
+    std::optional<SteadyTime> header_started = {};  // set while a request header is being received
+    bool in_request = false;  // from the first byte of a request until its response is written
 };
 
 EvhttpServer::EvhttpServer(EventLoop& loop, const NodeAddress& bind, HttpHandler handler)
@@ -125,8 +126,9 @@
     draining_ = true;
 }
 
-// evhttp tells of a new connection only by asking for its stream. What belongs to it is known right after
-// that, and before anything can be read: the claim runs in the same turn of the loop.
+// evhttp has no callback for new connections; it only asks for the bufferevent of each. The evhttp_connection
+// is assigned to the bufferevent after this callback returns. register_event_ runs in the same loop
+// iteration, before any data can be read.
 bufferevent* EvhttpServer::onAccept(event_base* base, void* self) {
     auto* server = static_cast<EvhttpServer*>(self);
     bufferevent* stream = bufferevent_socket_new(base, -1, 0);
@@ -153,7 +155,7 @@
 void EvhttpServer::registerConnection(bufferevent* stream) {
     void* owner = nullptr;
     bufferevent_getcb(stream, nullptr, nullptr, nullptr, &owner);
-    if (owner == nullptr) return;  // closed already
+    if (owner == nullptr) return;  // already closed
     auto* handle = static_cast<evhttp_connection*>(owner);
     auto connection = std::make_unique<Connection>(Connection{*this, stream, nullptr});
     setNoDelay(bufferevent_getfd(stream));
@@ -194,7 +196,8 @@
     header_timeout_timer_ = loop_.after(step, [this] { checkHeaderTimeouts(); });
 }
 
-// Ends the connections whose header takes too long: evhttp reads the end of the stream and closes them.
+// Shuts down receiving on connections whose header exceeds the timeout; evhttp then reads the end of the
+// stream and closes them.
 void EvhttpServer::checkHeaderTimeouts() {
     header_timeout_timer_.reset();
     const SteadyTime now = loop_.now();
@@ -239,7 +242,7 @@
     try {
         writeHeaders(request, response.headers);
     } catch (const std::invalid_argument& error) {
-        LOG(ERROR) << "answer replaced by 500: " << error.what();
+        LOG(ERROR) << "response replaced by status 500: " << error.what();
         return evhttp_send_error(request, kInternalError, nullptr);
     }
     if (response.status != kNoContent && evhttp_find_header(headers, "Content-Length") == nullptr) {
@@ -262,7 +265,7 @@
     connection.exchange.reset();
     connection.in_request = false;
     --open_requests_;
-    // The next request may have come already; its bytes were counted to this one.
+    // The bytes of a pipelined request may have arrived before the response was written; handle them now.
     evbuffer* input = bufferevent_get_input(connection.stream);
     if (evbuffer_get_length(input) > 0) handleInput(connection, input);
 }
@@ -276,7 +279,8 @@
     if (found == connections_.end()) return;
     if (const std::shared_ptr<Exchange> exchange = found->second->exchange) {
         evhttp_request* unanswered = std::exchange(exchange->request, nullptr);
-        // evhttp has let go of a request whose client left; it frees the others with their connection.
+        // evhttp detaches a request when its client disconnects and does not free it; it frees all others
+        // with their connection.
         const bool must_free = unanswered != nullptr && evhttp_request_get_connection(unanswered) == nullptr;
         if (must_free) evhttp_request_free(unanswered);
         --open_requests_;
--- a/src/cluster/common/evhttp_server.hpp
+++ b/src/cluster/common/evhttp_server.hpp
@@ -21,25 +21,27 @@
     void operator()(evhttp* http) const { evhttp_free(http); }
 };
 
-// Hands whole, well-formed requests to the handler, one at a time on each connection; everything else it
-// refuses by itself (400, 413, 501) or closes. Answers are dropped where the client or the server is gone.
+// Passes complete, well-formed requests to the handler, one at a time per connection. It rejects all others
+// itself (400, 413, 501) or closes the connection. Responses are dropped if the client has disconnected or
+// the server is destroyed.
 class EvhttpServer {
 public:
-    // Listens at once; port 0 takes any free one. Throws SocketError.
+    // Starts listening; port 0 selects any free port. Throws SocketError.
     EvhttpServer(EventLoop& loop, const NodeAddress& bind, HttpHandler handler);
     ~EvhttpServer();
     EvhttpServer(const EvhttpServer&) = delete;
     EvhttpServer& operator=(const EvhttpServer&) = delete;
 
-    // For connections accepted from now on; the header timeout holds for all of them.
+    // Applies to connections accepted from now on, except for the header timeout, which applies to all.
     void setLimits(const HttpLimits& limits);
-    // New connections are refused; those that are open stay.
+    // Refuses new connections; open ones stay.
     void stopListening();
-    // Every later answer carries Connection: close.
+    // Adds Connection: close to every later response.
     void startDraining();
-    // Requests that were handed over and whose answer is not written yet.
+    // The number of requests passed to the handler whose response is not completely written.
     std::size_t openRequests() const { return open_requests_; }
     std::size_t connections() const { return connections_.size(); }
+    // The address that it listens on.
     const NodeAddress& address() const { return address_; }
 
 private:
@@ -69,7 +71,7 @@
     HttpLimits limits_;
     bool draining_ = false;
     std::size_t open_requests_ = 0;
-    std::vector<bufferevent*> accepted_;  // not claimed yet; each holds a reference
+    std::vector<bufferevent*> accepted_;  // not yet in connections_; a reference is held to each
     EventHandle register_event_;
     TimerHandle header_timeout_timer_;
     std::unordered_map<evhttp_connection*, std::unique_ptr<Connection>> connections_;
--- a/src/cluster/common/frame_connection.cpp
+++ b/src/cluster/common/frame_connection.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kReceiveBufferBytes = 64 * 1024;  // at once; also what an idle connection may keep
+// Read at once; also the largest input buffer that an idle connection keeps.
+constexpr std::size_t kReceiveBufferBytes = 64 * 1024;
 
 bool isRetriable(int error) {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
@@ -47,7 +48,8 @@
                                 &FrameConnection::onReadable, this));
     write_event_.reset(
         event_new(loop_.base(), socket_.descriptor(), EV_WRITE, &FrameConnection::onWritable, this));
-    if (!output_ || !read_event_ || !write_event_) throw std::runtime_error("connection: no memory");
+    if (!output_ || !read_event_ || !write_event_)
+        throw std::runtime_error("frame connection: out of memory");
 }
 
 void FrameConnection::start() {
@@ -59,13 +61,13 @@
 
 std::uint64_t FrameConnection::send(const Frame& frame) {
     if (frame.body.size() > kMaxBodyBytes) {
-        throw std::length_error("message of kind " + std::to_string(frame.kind) + " is over 64 MB");
+        throw std::length_error("message of kind " + std::to_string(frame.kind) + " exceeds 64 MB");
     }
     const FramePrefix prefix = encodePrefix(frame);
     evbuffer_expand(output_.get(), prefix.size() + frame.body.size());
     evbuffer_add(output_.get(), prefix.data(), prefix.size());
     evbuffer_add(output_.get(), frame.body.data(), frame.body.size());
-    // Runs after the callbacks that are due in this turn, without a system call.
+    // Writes after the other callbacks of this loop iteration, without a system call to poll the socket.
     if (connected_) event_active(write_event_.get(), EV_WRITE, 0);
     return std::exchange(bytes_queued_, bytes_queued_ + prefix.size() + frame.body.size());
 }
@@ -116,7 +118,7 @@
             if (!*alive) return;
         }
     } catch (const InvalidFrame& error) {
-        LOG(WARNING) << "connection closed: bad frame: " << error.what();
+        LOG(WARNING) << "connection closed: invalid frame: " << error.what();
         return listener_.onClosed();
     }
     input_.erase(0, std::exchange(consumed_bytes_, 0));
--- a/src/cluster/common/frame_connection.hpp
+++ b/src/cluster/common/frame_connection.hpp
@@ -1,4 +1,4 @@
-// One TCP connection between two processes of the cluster, as a stream of frames.
+// A TCP connection between two processes of the cluster that carries a stream of frames.
 #pragma once
 
 #include <event2/buffer.h>
@@ -14,15 +14,15 @@
 
 namespace amberswitch::cluster {
 
-// Hears from a connection. Any member may destroy the connection.
+// Callbacks of a connection. Each of them may destroy the connection.
 class FrameListener {
 public:
     virtual void onConnected() {}
     virtual void onFrame(Frame frame) = 0;
-    // All that was received up to now has been handed over.
+    // All complete frames received so far have been passed to onFrame().
     virtual void onReceived() {}
-    // Broken, refused, closed by the peer, or the peer sent what is not a frame. The connection must be
-    // destroyed.
+    // The connection broke, was refused or was closed by the peer, or the peer sent an invalid frame. The
+    // listener must destroy the connection.
     virtual void onClosed() = 0;
 
 protected:
@@ -33,25 +33,25 @@
     void operator()(evbuffer* buffer) const { evbuffer_free(buffer); }
 };
 
-// Destroying it closes the socket. Frames that are sent in one turn of the loop leave together at its end. It
-// reads and writes by itself rather than by a bufferevent, which takes twice the system calls and 4 KB at a
-// time.
+// Destroying it closes the socket. Frames sent within one loop iteration are written together at its end. The
+// class reads and writes the socket itself, because a bufferevent needs twice the system calls and reads 4 KB
+// at a time.
 class FrameConnection {
 public:
-    // Takes over a connected socket.
+    // Takes ownership of a connected socket.
     FrameConnection(EventLoop& loop, FrameListener& listener, Socket socket);
-    // Connects; tells onConnected or onClosed later, never from here. Throws SocketError where the address is
-    // no IPv4 address.
+    // Starts connecting; onConnected or onClosed follows, never inside the constructor. Throws SocketError if
+    // the address is not an IPv4 address.
     FrameConnection(EventLoop& loop, FrameListener& listener, const NodeAddress& to);
     ~FrameConnection();
     FrameConnection(const FrameConnection&) = delete;
     FrameConnection& operator=(const FrameConnection&) = delete;
 
-    // Queues a frame and returns its offset in the stream. Throws std::length_error if the body is over the
-    // limit.
+    // Queues a frame and returns its offset in the output stream. Throws std::length_error if the body
+    // exceeds kMaxBodyBytes.
     std::uint64_t send(const Frame& frame);
-    // Bytes of the stream that were handed to the kernel: a frame at an offset from there on surely never
-    // left.
+    // The number of bytes of the stream passed to the kernel. A frame whose offset is not below it was
+    // certainly not sent.
     std::uint64_t bytesWritten() const { return bytes_queued_ - evbuffer_get_length(output_.get()); }
 
 private:
@@ -72,8 +72,8 @@
     bool connected_ = false;
     std::unique_ptr<evbuffer, BufferDeleter> output_;
     std::uint64_t bytes_queued_ = 0;
-    std::string input_;               // received and not yet handed over
-    std::size_t consumed_bytes_ = 0;  // of input_
+    std::string input_;               // received and not yet delivered
+    std::size_t consumed_bytes_ = 0;  // delivered bytes at the start of input_
     EventHandle read_event_;
     EventHandle write_event_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/cluster/common/http.hpp
+++ b/src/cluster/common/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 as the planes see it. Implemented on libevent's evhttp (evhttp_server.hpp, evhttp_client.hpp);
-// tests use their own implementations.
+// HTTP/1.1 messages and the client interface, independent of the library behind them. Implemented on
+// libevent's evhttp (evhttp_server.hpp, evhttp_client.hpp); tests use their own implementations.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 };
 using HttpHeaders = std::vector<HttpHeader>;
 
-// The first value of a header, by its name without case; empty if there is none.
+// Returns the value of the first header with that name, ignoring case; empty if there is none.
 std::string_view headerValue(const HttpHeaders& headers, std::string_view name);
 
 struct HttpRequest {
@@ -32,10 +32,10 @@
     int status = 200;
     HttpHeaders headers;
     std::string body;
-    bool close = false;  // ask the client to close (Connection: close)
+    bool close = false;  // sends Connection: close; in a received response: the connection was closed
 };
 
-// Answers once; an answer after the client has left is dropped.
+// Sends the response. Only the first call has an effect, and none if the client has disconnected.
 using HttpResponder = std::function<void(HttpResponse)>;
 using HttpHandler = std::function<void(const HttpRequest&, HttpResponder)>;
 
@@ -43,25 +43,30 @@
     NodeAddress to;
     HttpRequest request;
     Millis timeout{1000};
-    std::size_t max_connections = 8;  // to this address from this process; further calls are not_executed
+    // Limit of open connections from this process to the address. A call that would exceed it ends as
+    // not_executed.
+    std::size_t max_connections = 8;
 };
 
 struct HttpOutcome {
-    Verdict verdict = Verdict::unknown;  // not_executed: refused, no connection in time, or none free
-    bool unreachable = false;            // no connection could be made
-    bool timed_out = false;
-    HttpResponse response;  // only where verdict is answered
+    // not_executed: the connection was refused or timed out, none was free, or the request is not valid.
+    Verdict verdict = Verdict::unknown;
+    bool unreachable = false;  // no connection could be established
+    bool timed_out = false;    // the call's timeout elapsed after the connection was established
+    HttpResponse response;     // set only if verdict is answered
 };
 
 class HttpClient {
 public:
     virtual ~HttpClient() = default;
-    // One request on a pooled connection; `done` runs exactly once, never inside send(). Where the call has a
-    // Request-Id, an answer that does not repeat it closes its connection and gives unknown.
+    // Sends one request on a pooled connection. `done` runs exactly once, never inside send(). If the request
+    // has a Request-Id header, only a response that repeats it ends the call as answered; a connection that
+    // delivers any other response is closed, and the call ends as unknown if its own response does not follow
+    // in time.
     virtual void send(HttpCall call, std::function<void(HttpOutcome)> done) = 0;
-    // Connections that are open now to an address, idle or not.
+    // The number of open connections to the address, idle or in use.
     virtual std::size_t connectionCount(const NodeAddress& address) const = 0;
-    // Closes idle connections, at an address that is not used any more.
+    // Closes the idle connections to an address that is no longer used.
     virtual void drainConnections(const NodeAddress& address) = 0;
 };
 
--- a/src/cluster/common/memory_stream.hpp
+++ b/src/cluster/common/memory_stream.hpp
@@ -1,5 +1,5 @@
-// Streams over bytes in memory that cost nothing to begin: a std::stringstream copies its bytes and looks up
-// the locale each time, which was a third of what a message took to encode or decode.
+// Streams over bytes in memory without set-up cost. A std::stringstream copies its bytes and looks up the
+// locale each time it is created, which took a third of the time to encode or decode a message.
 #pragma once
 
 #include <istream>
@@ -10,17 +10,17 @@
 
 namespace amberswitch::cluster {
 
-// Reads from bytes that must outlive it.
+// Reads from bytes that must outlive the buffer.
 class MemorySource : public std::streambuf {
 public:
     explicit MemorySource(std::string_view bytes) {
-        char* const begin = const_cast<char*>(bytes.data());  // only read
+        char* const begin = const_cast<char*>(bytes.data());  // never written to
         setg(begin, begin, begin + bytes.size());
     }
     bool atEnd() const { return gptr() == egptr(); }
 };
 
-// Appends to a string that must outlive it.
+// Appends to a string that must outlive the buffer.
 class MemorySink : public std::streambuf {
 public:
     explicit MemorySink(std::string& bytes) : bytes_(bytes) {}
@@ -40,13 +40,14 @@
     std::string& bytes_;
 };
 
-// The stream of this thread over that buffer, until the next call. Its errors are forgotten.
+// Returns this thread's input stream, which reads from `source` until the next call. Clears its error state.
 inline std::istream& streamFrom(MemorySource& source) {
     thread_local std::istream stream(nullptr);
     stream.rdbuf(&source);
     return stream;
 }
 
+// Returns this thread's output stream, which writes to `sink` until the next call. Clears its error state.
 inline std::ostream& streamTo(MemorySink& sink) {
     thread_local std::ostream stream(nullptr);
     stream.rdbuf(&sink);
--- a/src/cluster/common/metrics_server.cpp
+++ b/src/cluster/common/metrics_server.cpp
@@ -19,7 +19,7 @@
     try {
         server_ = std::make_unique<EvhttpServer>(loop, address, answer);
     } catch (const SocketError& error) {
-        LOG(WARNING) << "no figures are told: " << error.what();
+        LOG(WARNING) << "metrics are not served: " << error.what();
     }
 }
 
--- a/src/cluster/common/metrics_server.hpp
+++ b/src/cluster/common/metrics_server.hpp
@@ -1,4 +1,4 @@
-// Tells a process's own figures at an address of its own: GET of any path answers with them as plain text.
+// Serves the metrics of a process at a separate address. A request for any path returns them as plain text.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 class MetricsServer {
 public:
-    // Port 0: none. An address that cannot be listened on is logged; the process goes on without.
+    // Port 0 disables the server. If it cannot listen on the address, it logs a warning and the process
+    // continues without it. `text` is called for each request.
     MetricsServer(EventLoop& loop, const NodeAddress& address, std::function<std::string()> text);
 
 private:
--- a/src/cluster/common/metrics_text.hpp
+++ b/src/cluster/common/metrics_text.hpp
@@ -1,4 +1,5 @@
-// Figures as text, for GET /metrics and GET /counters: one a line, its name, a space and its value.
+// Text format of metrics, for GET /metrics and GET /counters: one metric per line, its name, a space and its
+// value.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 class MetricsText {
 public:
-    // `prefix` stands before each name.
+    // `prefix` is prepended to each name.
     explicit MetricsText(std::string prefix = "") : prefix_(std::move(prefix)) {}
 
     void add(std::string_view name, std::uint64_t value) {
--- a/src/cluster/common/scheduler.hpp
+++ b/src/cluster/common/scheduler.hpp
@@ -1,6 +1,6 @@
-// Time and deferred work for one process. All planes run on one thread, that of their scheduler; worker
-// threads hand results back through post(). The libevent implementation is the real one, the simulated one
-// drives tests.
+// Clocks, timers and deferred work of one process. All planes run on a single thread, the scheduler's thread;
+// worker threads pass their results to it through post(). EventLoop (libevent) is the production
+// implementation; tests use simulated ones.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,12 @@
 class Scheduler {
 public:
     virtual ~Scheduler() = default;
-    virtual SteadyTime now() const = 0;           // steady clock
-    virtual std::int64_t wallMillis() const = 0;  // time of day; may step
-    // Runs `work` once after `delay`, unless the handle dies first.
+    virtual SteadyTime now() const = 0;  // monotonic clock
+    // Milliseconds since the Unix epoch. May jump forwards or backwards.
+    virtual std::int64_t wallMillis() const = 0;
+    // Runs `work` once after `delay`, unless the handle is destroyed first.
     [[nodiscard]] virtual TimerHandle after(Millis delay, std::function<void()> work) = 0;
-    // Runs `work` soon on the scheduler's thread. The only member that may be called from other threads.
+    // Queues `work` to run on the scheduler's thread. The only member that may be called from other threads.
     virtual void post(std::function<void()> work) = 0;
 };
 
--- a/src/cluster/common/stream_flush.hpp
+++ b/src/cluster/common/stream_flush.hpp
@@ -1,4 +1,4 @@
-// Saves system calls where evhttp writes.
+// Reduces the system calls of evhttp's writes.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -7,9 +7,9 @@
 
 namespace amberswitch::cluster {
 
-// Writes what is in the output of a connected stream at the end of this turn of the loop. A bufferevent would
-// first ask the kernel whether the socket is writable, which it mostly is: two system calls and a wake-up for
-// each message.
+// Writes the output of a connected stream at the end of this loop iteration. By itself a bufferevent first
+// polls whether the socket is writable, which it nearly always is. That takes two system calls and a wake-up
+// for each message.
 inline void scheduleWrite(bufferevent* stream) {
     event_active(&stream->ev_write, EV_WRITE, 0);
 }
--- a/src/cluster/common/tcp_peer.cpp
+++ b/src/cluster/common/tcp_peer.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr Millis kConnectTimeout{300};
-// A peer that owes an answer and sent nothing for so long gets a new connection after the next timeout.
+// If a peer has open calls and sends nothing for this long, the next call timeout closes the connection.
+// Later calls connect again.
 constexpr Millis kUnresponsiveTimeout{1000};
 
 }  // namespace
@@ -16,7 +17,7 @@
 TcpPeer::TcpPeer(EventLoop& loop, NodeAddress address) : loop_(loop), address_(std::move(address)) {}
 
 void TcpPeer::call(Envelope request, Millis timeout, std::function<void(CallResult)> done) {
-    if (request.body.size() > kMaxBodyBytes) throw std::length_error("request of over 64 MB");
+    if (request.body.size() > kMaxBodyBytes) throw std::length_error("request exceeds 64 MB");
     if (!connection_) connect();
     const std::uint64_t id = ++last_call_id_;
     PendingCall& call = pending_calls_[id];
--- a/src/cluster/common/tcp_peer.hpp
+++ b/src/cluster/common/tcp_peer.hpp
@@ -1,4 +1,4 @@
-// The calling side of the TCP transport: all calls from this process to one address, on one connection.
+// The client side of the TCP transport: all calls from this process to one address, on one connection.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,22 @@
 
 namespace amberswitch::cluster {
 
-// Connects when a call needs it and stays connected. Calls wait while it connects, 1 s at most.
+// Connects on the first call and stays connected. While it connects, calls wait for
+// kConnectTimeout at most.
 class TcpPeer : private FrameListener {
 public:
     TcpPeer(EventLoop& loop, NodeAddress address);
     virtual ~TcpPeer() = default;
 
-    // As Transport::call. Throws std::length_error where the body is over kMaxBodyBytes.
+    // As Transport::call. Throws std::length_error if the body exceeds kMaxBodyBytes.
     void call(Envelope request, Millis timeout, std::function<void(CallResult)> done);
 
 private:
     struct PendingCall {
-        Envelope request;  // empty once it was sent
+        Envelope request;  // empty once sent
         std::function<void(CallResult)> done;
         TimerHandle timer;
-        std::optional<std::uint64_t> offset;  // of its frame in the stream; none before it was sent
+        std::optional<std::uint64_t> offset;  // of its frame in the output stream; none before it is sent
     };
     using PendingCalls = std::map<std::uint64_t, PendingCall>;
 
@@ -40,7 +41,8 @@
     void sendCall(std::uint64_t id, PendingCall& call);
     void handleTimeout(std::uint64_t id);
     bool isUnresponsive() const;
-    // Ends all calls: those whose frame surely never left as not_executed, the others as unknown.
+    // Closes the connection and ends all calls: as not_executed if no byte of the frame was passed to the
+    // kernel, otherwise as unknown.
     void failAllCalls();
 
     EventLoop& loop_;
@@ -50,7 +52,7 @@
     TimerHandle connect_timer_;
     std::uint64_t last_call_id_ = 0;
     PendingCalls pending_calls_;
-    // Since when this side has waited for bytes from the peer; none while nothing is owed.
+    // When this side began to wait for bytes from the peer; none while no call is open.
     std::optional<SteadyTime> waiting_since_;
 };
 
--- a/src/cluster/common/tcp_socket.cpp
+++ b/src/cluster/common/tcp_socket.cpp
@@ -18,7 +18,7 @@
 constexpr Millis kBindRetryInterval{50};
 constexpr unsigned int kUserTimeoutMillis = 1500;
 
-// False where the address is in use. Throws SocketError.
+// Returns false if the address is in use. Throws SocketError on any other error.
 bool tryListen(const Socket& socket, const NodeAddress& address, const sockaddr_in& target) {
     const auto* name = reinterpret_cast<const sockaddr*>(&target);
     const bool is_bound = bind(socket.descriptor(), name, sizeof(target)) == 0;
--- a/src/cluster/common/tcp_socket.hpp
+++ b/src/cluster/common/tcp_socket.hpp
@@ -1,4 +1,4 @@
-// Sockets of the cluster: listening, options and addresses. IPv4 only.
+// Helpers for TCP sockets: creation, listening, options and addresses. IPv4 only.
 #pragma once
 
 #include <event2/util.h>
@@ -11,7 +11,7 @@
 
 namespace amberswitch::cluster {
 
-// An address that cannot be used; what() names it and the reason.
+// Thrown for an address that cannot be used; what() gives the address and the reason.
 class SocketError : public std::runtime_error {
 public:
     SocketError(const NodeAddress& address, const std::string& reason)
@@ -27,36 +27,37 @@
     ~Socket();
 
     evutil_socket_t descriptor() const { return descriptor_; }
-    // Gives up the ownership.
+    // Gives up ownership without closing.
     evutil_socket_t release() { return std::exchange(descriptor_, -1); }
 
 private:
     evutil_socket_t descriptor_;
 };
 
-// Throws SocketError where the IP is not a dotted IPv4 address.
+// Throws SocketError if the IP is not an IPv4 address in dotted notation.
 sockaddr_in toSocketAddress(const NodeAddress& address);
 
 // The local address of a bound or connected socket.
 NodeAddress localAddress(evutil_socket_t socket);
 
-// A non-blocking stream socket, for this address. Throws SocketError.
+// Creates a non-blocking stream socket. Throws SocketError, which names `address`.
 Socket openSocket(const NodeAddress& address);
 
-// Begins to connect; the socket becomes writable at the end. False where that failed at once.
+// Starts a non-blocking connect; the socket becomes writable when it ends. Returns false if it failed at
+// once.
 bool startConnecting(const Socket& socket, const NodeAddress& to);
 
-// The pending error of a socket, 0 for none.
+// Returns and clears the pending error of a socket (SO_ERROR); 0 if there is none.
 int pendingSocketError(const Socket& socket);
 
-// A non-blocking socket that listens there. While the address is in use it tries again for 3 s, which blocks
-// the caller. Throws SocketError.
+// Creates a non-blocking socket that listens on the address. If the address is in use, it blocks the caller
+// and retries for up to 3 s. Throws SocketError.
 Socket listenOn(const NodeAddress& address);
 
-// Sends small writes at once.
+// Disables Nagle's algorithm, so that small writes are sent at once.
 void setNoDelay(evutil_socket_t socket);
 
-// Breaks the connection when what was sent is not acknowledged for 1.5 s.
+// Makes the kernel drop the connection if sent data is not acknowledged within 1.5 s.
 void setUserTimeout(evutil_socket_t socket);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/tcp_transport.cpp
+++ b/src/cluster/common/tcp_transport.cpp
@@ -6,7 +6,8 @@
 
 namespace amberswitch::cluster {
 
-// The serving side of one connection. Responders hold it weakly, so a late answer finds it gone.
+// The server side of one connection. Responders hold weak references, so a reply after it is closed is
+// dropped.
 class TcpTransport::IncomingConnection : public FrameListener,
                                          public std::enable_shared_from_this<IncomingConnection> {
 public:
--- a/src/cluster/common/tcp_transport.hpp
+++ b/src/cluster/common/tcp_transport.hpp
@@ -1,4 +1,5 @@
-// The real transport between the cluster's processes: frames on TCP, one outgoing connection to each address.
+// The production transport between the cluster's processes: frames on TCP, with one outgoing connection to
+// each address.
 #pragma once
 
 #include <event2/listener.h>
@@ -18,20 +19,20 @@
 };
 using ListenerHandle = std::unique_ptr<evconnlistener, ListenerDeleter>;
 
-// Calls that are open when the transport is destroyed never hear their end; answers given after that are
+// The callbacks of calls that are open when the transport is destroyed never run; replies sent after that are
 // dropped.
 class TcpTransport : public Transport {
 public:
-    // Listens at once; port 0 takes any free one. Throws SocketError.
+    // Starts listening; port 0 selects any free port. Throws SocketError.
     TcpTransport(EventLoop& loop, const NodeAddress& address);
     ~TcpTransport() override;
 
-    // Throws SocketError where the address is not an IPv4 address.
+    // Throws SocketError if the address is not an IPv4 address.
     void call(const NodeAddress& to, Envelope request, Millis timeout,
               std::function<void(CallResult)> done) override;
     void serve(RequestHandler handler) override;
 
-    // Where it listens.
+    // The address that it listens on.
     const NodeAddress& address() const { return address_; }
 
 private:
--- a/src/cluster/common/traffic_meter.hpp
+++ b/src/cluster/common/traffic_meter.hpp
@@ -1,5 +1,5 @@
-// Counts what a process exchanges with the others of the cluster: calls and bytes by kind of message and by
-// distance, for its figures.
+// Metrics of the traffic of a process with the others of the cluster: calls and bytes by message kind and
+// network distance.
 #pragma once
 
 #include <array>
@@ -16,21 +16,22 @@
 
 class TrafficMeter {
 public:
+    // Sizes are those of the bodies; the frame prefixes are added. An unknown distance is counted separately.
     void countCall(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_sent);
     void countReply(std::uint16_t kind, std::optional<Distance> distance, std::size_t bytes_received);
-    // Lines such as "traffic_accept_message_other_region_bytes 120"; what was never counted has no line.
+    // Lines such as "traffic_accept_message_other_region_bytes 120". Combinations without calls are left out.
     std::string text() const;
 
 private:
     struct Totals {
         std::uint64_t calls = 0;
-        std::uint64_t bytes = 0;  // requests and their answers, with frames and without headers of TCP
+        std::uint64_t bytes = 0;  // requests and replies with their frame prefixes, without TCP headers
     };
-    static constexpr std::size_t kDistanceCount = 4;  // those of Distance, and the unknown one
-    std::map<std::uint16_t, std::array<Totals, kDistanceCount>> totals_;  // by kind of message
+    static constexpr std::size_t kDistanceCount = 4;  // the values of Distance, and unknown
+    std::map<std::uint16_t, std::array<Totals, kDistanceCount>> totals_;  // by message kind
 };
 
-// Passes everything on and counts the calls that this process makes.
+// Forwards to another transport and counts the calls that this process makes.
 class MeteredTransport : public Transport {
 public:
     // All references must outlive the transport.
--- a/tests/cluster/http_client_test.cpp
+++ b/tests/cluster/http_client_test.cpp
@@ -1,4 +1,4 @@
-// What the HTTP client makes of each answer, against raw peers on loopback.
+// Tests of the outcomes that the HTTP client reports, against raw TCP servers on loopback.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 using testing::RawConnection;
 using testing::runUntil;
 
-TEST_CASE("the request is sent as given and the answer read whole") {
+TEST_CASE("the request is sent unchanged and the response read completely") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get("/a%20b//c?q=1&r=%2F#f");
     call.request.method = "POST";
@@ -64,7 +64,7 @@
     CHECK(fixture.client.counters().connections_opened == 1);
 }
 
-TEST_CASE("a refused connection was not executed and is told later") {
+TEST_CASE("a refused connection is reported as not executed, asynchronously") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get();
     call.to = closedAddress();
@@ -78,7 +78,7 @@
     CHECK(outcome.completions == 1);
 }
 
-TEST_CASE("an address that cannot be reached at all was not executed and is told later") {
+TEST_CASE("an unreachable address is reported as not executed, asynchronously") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get();
     call.to = {"255.255.255.255", 9};
@@ -91,7 +91,7 @@
     CHECK(fixture.client.connectionCount(call.to) == 0);
 }
 
-TEST_CASE("a connection that is not made in 0.3 seconds was not executed") {
+TEST_CASE("a call whose connection is not established within 0.3 seconds is not executed") {
     HttpClientFixture fixture;
     const Socket listener = listenOn({"127.0.0.1", 0});
     REQUIRE(listen(listener.descriptor(), 0) == 0);
@@ -119,7 +119,7 @@
     CHECK(fixture.client.connectionCount(call.to) == 0);
 }
 
-TEST_CASE("silence is unknown, and the connection is closed") {
+TEST_CASE("a call without a response is unknown, and its connection is closed") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get();
     call.timeout = Millis(60);
@@ -141,7 +141,7 @@
     }));
 }
 
-TEST_CASE("an answer cut short is unknown") {
+TEST_CASE("a truncated response is unknown") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.get(), outcome.callback());
@@ -181,7 +181,7 @@
     CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
 }
 
-TEST_CASE("a reset is unknown") {
+TEST_CASE("a call whose connection is reset is unknown") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.get(), outcome.callback());
@@ -193,7 +193,7 @@
     CHECK(outcome.result.verdict == Verdict::unknown);
 }
 
-TEST_CASE("what is not an answer is unknown") {
+TEST_CASE("a call that receives an invalid response is unknown") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     HttpCall call = fixture.get();
@@ -213,7 +213,7 @@
     SUBCASE("another protocol") {
         fixture.serverConnection(0).send("HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
-    SUBCASE("a status that is no end") {
+    SUBCASE("a status that is not final") {
         fixture.serverConnection(0).send("HTTP/1.1 103 Early Hints\r\n\r\n");
     }
     REQUIRE(fixture.waitForOutcome(outcome));
@@ -221,7 +221,7 @@
     CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
 }
 
-TEST_CASE("answers without a body and in chunks are whole") {
+TEST_CASE("responses without a body and chunked ones are complete") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.get(), outcome.callback());
@@ -256,7 +256,7 @@
     fixture.completeExchange(0, 2);
 }
 
-TEST_CASE("a server may answer and close") {
+TEST_CASE("a server may close the connection after its response") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.get(), outcome.callback());
@@ -267,7 +267,7 @@
     SUBCASE("without one") {
         fixture.serverConnection(0).send(okResponse("ok"));
     }
-    SUBCASE("its end is the end of the body") {
+    SUBCASE("the end of the connection ends the body") {
         fixture.serverConnection(0).send("HTTP/1.1 200 OK\r\n\r\nok");
     }
     REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).sentAll(); }));
@@ -278,7 +278,7 @@
     fixture.completeExchange(1, 1);
 }
 
-TEST_CASE("an answer of another request is never its own, and its connection is closed") {
+TEST_CASE("a response to another request is not accepted, and its connection is closed") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     HttpCall call = fixture.getWithId("mine");
@@ -292,7 +292,7 @@
     REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).closed; }));
 }
 
-TEST_CASE("what cannot be put into a request is not sent") {
+TEST_CASE("an invalid request is not sent") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get();
     SUBCASE("a target with a space") {
--- a/tests/cluster/http_fixtures.hpp
+++ b/tests/cluster/http_fixtures.hpp
@@ -1,4 +1,4 @@
-// Plays the HTTP client against a server of raw sockets, and the HTTP server against raw clients.
+// Test fixtures: the HTTP client with a raw TCP server, and the HTTP server for raw TCP clients.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace amberswitch::cluster::testing {
 
-// Counts how often a call ended, and keeps the last outcome.
+// Counts the completions of a call and keeps the last outcome.
 struct HttpOutcomeRecorder {
     int completions = 0;
     HttpOutcome result;
@@ -27,7 +27,7 @@
            body;
 }
 
-// A client, and a server that the test plays by hand.
+// An HTTP client, and a raw TCP server whose responses the test writes.
 class HttpClientFixture {
 public:
     EventLoop loop;
@@ -46,7 +46,8 @@
         call.request.headers.push_back({"Request-Id", id});
         return call;
     }
-    // Waits until the server has that many requests in all on its connection of that index.
+    // Waits until the server has received at least that many requests on its connection of that index.
+    // Returns false on a timeout, as all functions that wait.
     bool waitForRequestsOn(std::size_t connection, std::size_t requests) {
         return runUntil(loop, [&] {
             return server.connections.size() > connection &&
@@ -57,7 +58,7 @@
     bool waitForOutcome(const HttpOutcomeRecorder& outcome) {
         return runUntil(loop, [&] { return outcome.completions > 0; });
     }
-    // One whole exchange on the server's connection of that index, which leaves it idle.
+    // Completes one exchange on the server's connection of that index, which is idle afterwards.
     void completeExchange(std::size_t connection, std::size_t requests, const std::string& headers = "") {
         HttpOutcomeRecorder outcome;
         client.send(get(), outcome.callback());
@@ -95,7 +96,7 @@
     }
 };
 
-// The first line of what a client received.
+// The first line that a client received.
 inline std::string statusLine(const RawConnection& client) {
     return client.received.substr(0, client.received.find("\r\n"));
 }
--- a/tests/cluster/http_once_test.cpp
+++ b/tests/cluster/http_once_test.cpp
@@ -1,5 +1,5 @@
-// Calls that may not be repeated: each is sent once whatever becomes of its connection, and takes no answer
-// that may be another one's. Raw peers on loopback.
+// Tests that the HTTP client sends each call at most once, however its connection ends, and accepts no
+// response that may belong to another call. Uses raw TCP peers on loopback.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr Millis kAWhile{40};
+constexpr Millis kQuietPeriod{40};
 constexpr Millis kShortTimeout{80};
-const std::string kOwnId = "Request-Id: mine\r\n";
+const std::string kOwnIdHeader = "Request-Id: mine\r\n";
 
-// All that the server received, on all its connections.
+// The number of requests with the id `mine` that the server received, on all its connections.
 std::size_t requestsReceived(const HttpClientFixture& fixture) {
     std::size_t requests = 0;
     for (const auto& connection : fixture.server.connections)
@@ -31,9 +31,9 @@
     return requests;
 }
 
-void letTimePass(HttpClientFixture& fixture) {
+void runForQuietPeriod(HttpClientFixture& fixture) {
     runUntil(
-        fixture.loop, [] { return false; }, kAWhile);
+        fixture.loop, [] { return false; }, kQuietPeriod);
 }
 
 HttpCall post(HttpClientFixture& fixture, std::size_t body_bytes) {
@@ -44,22 +44,22 @@
 }
 
 // How the server ends its connection.
-enum class Break { none, close, reset, end_of_sending };
+enum class ConnectionEnd { none, close, reset, end_of_sending };
 
 struct Fault {
     std::string name;
-    bool reads_request = false;  // before anything else
+    bool reads_request = false;  // before the response and the end
     std::string answer;
-    Break end = Break::none;
+    ConnectionEnd end = ConnectionEnd::none;
 };
 
-void breakOff(RawConnection& connection, Break end) {
-    if (end == Break::close) connection.close();
-    if (end == Break::reset) connection.reset();
-    if (end == Break::end_of_sending) connection.shutdownSending();
+void endConnection(RawConnection& connection, ConnectionEnd end) {
+    if (end == ConnectionEnd::close) connection.close();
+    if (end == ConnectionEnd::reset) connection.reset();
+    if (end == ConnectionEnd::end_of_sending) connection.shutdownSending();
 }
 
-// Every idle connection of the client is closed or carries the call that is open.
+// Checks that the client has closed its only connection.
 void checkClosed(HttpClientFixture& fixture, std::size_t connection) {
     CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
     CHECK(runUntil(fixture.loop, [&] { return fixture.serverConnection(connection).closed; }));
@@ -68,7 +68,7 @@
 }  // namespace
 
 TEST_CASE(
-    "an answer that does not repeat the request's id never ends its call, and its connection is closed") {
+    "a response that does not repeat the request's id does not end the call, and its connection is closed") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     HttpCall call = fixture.getWithId("mine");
@@ -85,7 +85,7 @@
         fixture.serverConnection(0).send(okResponse("done", "Response-Stamp: s.1\r\nRequest-Id: other\r\n"));
     }
     SUBCASE("a success whose first id is another one") {
-        fixture.serverConnection(0).send(okResponse("done", "Request-Id: other\r\n" + kOwnId));
+        fixture.serverConnection(0).send(okResponse("done", "Request-Id: other\r\n" + kOwnIdHeader));
     }
     SUBCASE("a success whose id only begins as the request's") {
         fixture.serverConnection(0).send(okResponse("done", "Request-Id: mine-2\r\n"));
@@ -114,69 +114,71 @@
     checkClosed(fixture, 0);
 }
 
-// Answers to other calls that a server may send before a call's own.
-const std::string kToEarlierCall = okResponse("old", "Response-Stamp: s.0\r\nRequest-Id: first\r\n");
-const std::string kToUnknownCall = okResponse("old", "Response-Stamp: s.0\r\nRequest-Id: other\r\n");
-const std::string kToNobody = okResponse("old", "Response-Stamp: s.0\r\n");
-const std::string kToOwnCall = okResponse("done", "Response-Stamp: s.1\r\n" + kOwnId);
+// Responses to other calls that a server may send before that to the open call.
+const std::string kEarlierResponse = okResponse("old", "Response-Stamp: s.0\r\nRequest-Id: first\r\n");
+const std::string kUnknownResponse = okResponse("old", "Response-Stamp: s.0\r\nRequest-Id: other\r\n");
+const std::string kResponseWithoutId = okResponse("old", "Response-Stamp: s.0\r\n");
+const std::string kOwnResponse = okResponse("done", "Response-Stamp: s.1\r\n" + kOwnIdHeader);
 
-// One exchange with id `first`, then a call with id `mine` on the same connection.
+// Completes an exchange with id `first`, then sends a call with id `mine` on the same connection.
 void sendOnUsedConnection(HttpClientFixture& fixture, HttpOutcomeRecorder& outcome) {
     HttpOutcomeRecorder earlier;
     fixture.client.send(fixture.getWithId("first"), earlier.callback());
     REQUIRE(fixture.waitForRequestsOn(0, 1));
-    fixture.serverConnection(0).send(kToEarlierCall);
+    fixture.serverConnection(0).send(kEarlierResponse);
     REQUIRE(fixture.waitForOutcome(earlier));
     fixture.client.send(fixture.getWithId("mine"), outcome.callback());
     REQUIRE(fixture.waitForRequestsOn(0, 2));
 }
 
-TEST_CASE("a call's own answer counts although answers to other calls come before it") {
+TEST_CASE("a call accepts its own response after responses to other calls") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     sendOnUsedConnection(fixture, outcome);
-    SUBCASE("a second answer to an earlier call, in one piece with its own") {
-        fixture.serverConnection(0).send(kToEarlierCall + kToOwnCall);
+    SUBCASE("a second response to an earlier call, in one piece with its own") {
+        fixture.serverConnection(0).send(kEarlierResponse + kOwnResponse);
     }
-    SUBCASE("a second answer to an earlier call, and its own later") {
-        fixture.serverConnection(0).send(kToEarlierCall);
-        letTimePass(fixture);
+    SUBCASE("a second response to an earlier call, and its own later") {
+        fixture.serverConnection(0).send(kEarlierResponse);
+        runForQuietPeriod(fixture);
         CHECK(outcome.completions == 0);
-        fixture.serverConnection(0).send(kToOwnCall);
+        fixture.serverConnection(0).send(kOwnResponse);
     }
     SUBCASE("byte by byte") {
-        for (const char byte : kToEarlierCall + kToOwnCall) {
+        for (const char byte : kEarlierResponse + kOwnResponse) {
             fixture.serverConnection(0).send(std::string(1, byte));
             fixture.loop.runOnce();
         }
     }
-    SUBCASE("an answer to a call that this connection did not carry") {
-        fixture.serverConnection(0).send(kToUnknownCall + kToOwnCall);
+    SUBCASE("a response to a call that this connection did not carry") {
+        fixture.serverConnection(0).send(kUnknownResponse + kOwnResponse);
     }
-    SUBCASE("and the server ends its connection behind them") {
-        fixture.serverConnection(0).send(kToEarlierCall + kToOwnCall);
+    SUBCASE("the server stops sending after them") {
+        fixture.serverConnection(0).send(kEarlierResponse + kOwnResponse);
         REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).sentAll(); }));
         fixture.serverConnection(0).shutdownSending();
     }
     SUBCASE("chunked ones") {
         const std::string chunked = "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
         fixture.serverConnection(0).send("HTTP/1.1 200 OK\r\nRequest-Id: first\r\nResponse-Stamp: s.0\r\n" +
-                                         chunked + "HTTP/1.1 200 OK\r\nResponse-Stamp: s.1\r\n" + kOwnId +
-                                         chunked);
+                                         chunked + "HTTP/1.1 200 OK\r\nResponse-Stamp: s.1\r\n" +
+                                         kOwnIdHeader + chunked);
     }
     SUBCASE("one without a body") {
-        fixture.serverConnection(0).send("HTTP/1.1 204 No Content\r\nRequest-Id: first\r\n\r\n" + kToOwnCall);
+        fixture.serverConnection(0).send("HTTP/1.1 204 No Content\r\nRequest-Id: first\r\n\r\n" +
+                                         kOwnResponse);
     }
-    SUBCASE("a refusal, which would let the call be sent elsewhere") {
+    SUBCASE("a refusal, which would allow another attempt elsewhere") {
         fixture.serverConnection(0).send(
             "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRequest-Id: first\r\nContent-Length: 0\r\n\r\n" +
-            kToOwnCall);
+            kOwnResponse);
     }
-    SUBCASE("an answer without an id") {
-        fixture.serverConnection(0).send(kToNobody + kToOwnCall);
+    SUBCASE("a response without an id") {
+        fixture.serverConnection(0).send(kResponseWithoutId + kOwnResponse);
     }
     SUBCASE("several") {
-        fixture.serverConnection(0).send(kToEarlierCall + kToNobody + kToUnknownCall + kToOwnCall);
+        fixture.serverConnection(0).send(kEarlierResponse + kResponseWithoutId + kUnknownResponse +
+                                         kOwnResponse);
     }
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.completions == 1);
@@ -187,17 +189,17 @@
     checkClosed(fixture, 0);
 }
 
-TEST_CASE("an own answer that is cut short behind another's leaves the call unknown") {
+TEST_CASE("a truncated response after one to another call leaves the call unknown") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     sendOnUsedConnection(fixture, outcome);
-    fixture.serverConnection(0).send(kToEarlierCall + kToOwnCall.substr(0, kToOwnCall.size() - 2));
+    fixture.serverConnection(0).send(kEarlierResponse + kOwnResponse.substr(0, kOwnResponse.size() - 2));
     REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).sentAll(); }));
     SUBCASE("closed") {
         fixture.serverConnection(0).close();
     }
     SUBCASE("reset") {
-        letTimePass(fixture);
+        runForQuietPeriod(fixture);
         fixture.serverConnection(0).reset();
     }
     REQUIRE(fixture.waitForOutcome(outcome));
@@ -205,15 +207,16 @@
     CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
 }
 
-TEST_CASE("a call is sent with its own bytes alone after an answer was dropped") {
+TEST_CASE("nothing is sent to read the next response after one was discarded") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     sendOnUsedConnection(fixture, outcome);
     const std::size_t sent = fixture.serverConnection(0).received.size();
-    fixture.serverConnection(0).send(kToEarlierCall);
-    letTimePass(fixture);
-    CHECK(fixture.serverConnection(0).received.size() == sent);  // nothing is written to read one more
-    fixture.serverConnection(0).send(kToOwnCall);
+    fixture.serverConnection(0).send(kEarlierResponse);
+    runForQuietPeriod(fixture);
+    // No request is written to read another response.
+    CHECK(fixture.serverConnection(0).received.size() == sent);
+    fixture.serverConnection(0).send(kOwnResponse);
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.response.body == "done");
     CHECK(fixture.serverConnection(0).received.size() == sent);
@@ -224,17 +227,17 @@
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.getWithId("mine"), outcome.callback());
     REQUIRE(fixture.waitForRequestsOn(0, 1));
-    fixture.serverConnection(0).send("HTTP/1.1 103 Early Hints\r\n" + kOwnId + "\r\n" + kToOwnCall);
+    fixture.serverConnection(0).send("HTTP/1.1 103 Early Hints\r\n" + kOwnIdHeader + "\r\n" + kOwnResponse);
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::answered);
     CHECK(outcome.result.response.body == "done");
 }
 
-TEST_CASE("a server that goes on answering other calls ends a call as unknown") {
+TEST_CASE("too many responses to other calls end a call as unknown") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     sendOnUsedConnection(fixture, outcome);
-    for (int i = 0; i < 100; ++i) fixture.serverConnection(0).send(kToEarlierCall);
+    for (int i = 0; i < 100; ++i) fixture.serverConnection(0).send(kEarlierResponse);
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::unknown);
     CHECK_FALSE(outcome.result.timed_out);
@@ -242,7 +245,7 @@
     checkClosed(fixture, 0);
 }
 
-TEST_CASE("a call without an id takes no answer behind which another one arrived") {
+TEST_CASE("a call without an id accepts no response that is followed by another one") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     SUBCASE("on a connection that carried another call") {
@@ -254,7 +257,7 @@
         CHECK(outcome.result.verdict == Verdict::unknown);
         CHECK(fixture.client.counters().answers_ambiguous == 1);
     }
-    SUBCASE("but the first one of a new connection") {
+    SUBCASE("except as the first call of a new connection") {
         fixture.client.send(fixture.get(), outcome.callback());
         REQUIRE(fixture.waitForRequestsOn(0, 1));
         fixture.serverConnection(0).send(okResponse("done") + okResponse("again"));
@@ -265,25 +268,25 @@
     checkClosed(fixture, 0);
 }
 
-TEST_CASE("an answer to a call with an id is taken at once although more arrived behind it") {
+TEST_CASE("a response with the id of its call is accepted at once, even if more bytes follow it") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     sendOnUsedConnection(fixture, outcome);
-    fixture.serverConnection(0).send(kToOwnCall + kToOwnCall);
+    fixture.serverConnection(0).send(kOwnResponse + kOwnResponse);
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::answered);
     CHECK(outcome.result.response.body == "done");
     checkClosed(fixture, 0);
 }
 
-TEST_CASE("a call without an id needs none in its answer") {
+TEST_CASE("a call without an id accepts a response without one") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1);
     fixture.completeExchange(0, 2, "Request-Id: any\r\n");
     CHECK(fixture.client.counters().connections_opened == 1);
 }
 
-TEST_CASE("a message that is sent again never takes a second answer to its first attempt") {
+TEST_CASE("a repeated attempt never accepts a second response to the first attempt") {
     HttpClientFixture fixture;
     HttpCall call = fixture.getWithId("mine");
     SUBCASE("with connections to spare") {}
@@ -294,23 +297,23 @@
     fixture.client.send(call, first.callback());
     REQUIRE(fixture.waitForRequestsOn(0, 1));
     const std::string refusal =
-        "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + kOwnId + "Content-Length: 0\r\n\r\n";
+        "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + kOwnIdHeader + "Content-Length: 0\r\n\r\n";
     fixture.serverConnection(0).send(refusal);
     REQUIRE(fixture.waitForOutcome(first));
     CHECK(first.result.response.status == 503);
     HttpOutcomeRecorder second;
     fixture.client.send(call, second.callback());
-    fixture.serverConnection(0).send(refusal);  // comes after the next attempt was sent
+    fixture.serverConnection(0).send(refusal);  // arrives after the second attempt was sent
     REQUIRE(fixture.waitForRequestsOn(1, 1));
-    letTimePass(fixture);
+    runForQuietPeriod(fixture);
     CHECK(second.completions == 0);
-    fixture.serverConnection(1).send(okResponse("done", kOwnId));
+    fixture.serverConnection(1).send(okResponse("done", kOwnIdHeader));
     REQUIRE(fixture.waitForOutcome(second));
     CHECK(second.result.response.status == 200);
     CHECK(second.result.response.body == "done");
 }
 
-TEST_CASE("a connection is used again for other messages, and not for one that it carried before them") {
+TEST_CASE("a connection is reused for other ids, but not for one that it recently carried") {
     HttpClientFixture fixture;
     for (const std::string id : {"mine", "b", "c"}) {
         HttpOutcomeRecorder outcome;
@@ -328,20 +331,20 @@
     CHECK(fixture.client.counters().connections_opened == 2);
 }
 
-TEST_CASE("whatever becomes of its connection, a call is sent once and ends once, never as answered") {
-    const std::string part = "HTTP/1.1 200 OK\r\n" + kOwnId + "Content-Length: 9\r\n\r\nab";
-    const std::string endless = "HTTP/1.1 200 OK\r\n" + kOwnId + "\r\nab";
+TEST_CASE("a call on a connection that fails is sent once and ends once, as unknown") {
+    const std::string part = "HTTP/1.1 200 OK\r\n" + kOwnIdHeader + "Content-Length: 9\r\n\r\nab";
+    const std::string endless = "HTTP/1.1 200 OK\r\n" + kOwnIdHeader + "\r\nab";
     const std::vector<Fault> faults{
-        {"reset before the request is read", false, "", Break::reset},
-        {"closed before the request is read", false, "", Break::close},
-        {"sending ended before the request is read", false, "", Break::end_of_sending},
-        {"reset after the request", true, "", Break::reset},
-        {"closed after the request", true, "", Break::close},
-        {"silence after the request", true, "", Break::none},
-        {"reset in the answer", true, part, Break::reset},
-        {"closed in the answer", true, part, Break::close},
-        {"silence in the answer", true, part, Break::none},
-        {"no end of the answer's body", true, endless, Break::none},
+        {"reset before the request is read", false, "", ConnectionEnd::reset},
+        {"closed before the request is read", false, "", ConnectionEnd::close},
+        {"sending ended before the request is read", false, "", ConnectionEnd::end_of_sending},
+        {"reset after the request", true, "", ConnectionEnd::reset},
+        {"closed after the request", true, "", ConnectionEnd::close},
+        {"silence after the request", true, "", ConnectionEnd::none},
+        {"reset in the response", true, part, ConnectionEnd::reset},
+        {"closed in the response", true, part, ConnectionEnd::close},
+        {"silence in the response", true, part, ConnectionEnd::none},
+        {"a response body without an end", true, endless, ConnectionEnd::none},
     };
     for (const Fault& fault : faults) {
         for (const bool is_reused : {false, true}) {
@@ -358,10 +361,10 @@
                     runUntil(fixture.loop, [&] { return fixture.serverConnection(0).count("xxx") == 1; }));
             fixture.serverConnection(0).send(fault.answer);
             REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).sentAll(); }));
-            breakOff(fixture.serverConnection(0), fault.end);
+            endConnection(fixture.serverConnection(0), fault.end);
             REQUIRE(fixture.waitForOutcome(outcome));
             CHECK(outcome.result.verdict == Verdict::unknown);
-            letTimePass(fixture);
+            runForQuietPeriod(fixture);
             CHECK(outcome.completions == 1);
             CHECK(requestsReceived(fixture) <= 1);
             CHECK(fixture.server.connections.size() == 1);
@@ -371,26 +374,28 @@
 }
 
 TEST_CASE("a connection that breaks in the middle of a request leaves it unknown, and it is not sent again") {
-    for (const Break end : {Break::reset, Break::close}) {
+    for (const ConnectionEnd end : {ConnectionEnd::reset, ConnectionEnd::close}) {
         for (const bool is_reused : {false, true}) {
-            INFO((end == Break::reset ? "reset" : "closed") << " " << is_reused);
+            INFO((end == ConnectionEnd::reset ? "reset" : "closed") << " " << is_reused);
             HttpClientFixture fixture;
             if (is_reused) fixture.completeExchange(0, 1);
             HttpOutcomeRecorder outcome;
             fixture.client.send(post(fixture, 30'000'000), outcome.callback());
             REQUIRE(runUntil(fixture.loop, [&] { return requestsReceived(fixture) == 1; }));
             fixture.serverConnection(0).stopReading();
-            breakOff(fixture.serverConnection(0), end);
+            endConnection(fixture.serverConnection(0), end);
             REQUIRE(fixture.waitForOutcome(outcome));
             CHECK(outcome.result.verdict == Verdict::unknown);
-            letTimePass(fixture);
+            runForQuietPeriod(fixture);
             CHECK(outcome.completions == 1);
             CHECK(fixture.server.connections.size() == 1);
         }
     }
 }
 
-TEST_CASE("an answer that comes before the request is whole counts once and is this call's own") {
+TEST_CASE(
+    "an early response, before the request is completely sent, is accepted once, and only with the call's "
+    "id") {
     HttpClientFixture fixture;
     HttpCall call = post(fixture, 30'000'000);
     call.timeout = Millis(500);
@@ -399,37 +404,37 @@
     REQUIRE(runUntil(fixture.loop,
                      [&] { return !fixture.server.connections.empty() && requestsReceived(fixture) == 1; }));
     Verdict expected = Verdict::answered;
-    SUBCASE("its own") {
-        fixture.serverConnection(0).send(okResponse("early", kOwnId));
+    SUBCASE("with its own id") {
+        fixture.serverConnection(0).send(okResponse("early", kOwnIdHeader));
     }
-    SUBCASE("another's") {
+    SUBCASE("with another id") {
         fixture.serverConnection(0).send(okResponse("early", "Request-Id: other\r\n"));
         expected = Verdict::unknown;
     }
-    SUBCASE("nobody's") {
+    SUBCASE("without an id") {
         fixture.serverConnection(0).send(okResponse("early"));
         expected = Verdict::unknown;
     }
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == expected);
     CHECK(outcome.result.timed_out == (expected == Verdict::unknown));
-    letTimePass(fixture);
+    runForQuietPeriod(fixture);
     CHECK(outcome.completions == 1);
     CHECK(requestsReceived(fixture) == 1);
     CHECK(fixture.server.connections.size() == 1);
 }
 
-TEST_CASE("an answer that waits on a new connection is no answer to its first request") {
+TEST_CASE("a response already received on a new connection does not end its first call") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     HttpCall call = fixture.getWithId("mine");
     call.timeout = kShortTimeout;
     fixture.client.send(call, outcome.callback());
     REQUIRE(runUntil(fixture.loop, [&] { return !fixture.server.connections.empty(); }));
-    SUBCASE("another's") {
+    SUBCASE("with another id") {
         fixture.serverConnection(0).send(okResponse("stray", "Request-Id: other\r\n"));
     }
-    SUBCASE("nobody's") {
+    SUBCASE("without an id") {
         fixture.serverConnection(0).send(okResponse("stray"));
     }
     REQUIRE(fixture.waitForOutcome(outcome));
@@ -437,7 +442,7 @@
     checkClosed(fixture, 0);
 }
 
-TEST_CASE("bytes on an idle connection close it, and no call is sent on it") {
+TEST_CASE("unexpected bytes close an idle connection, and no call is sent on it") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1);
     SUBCASE("one byte") {
@@ -446,10 +451,10 @@
     SUBCASE("a line end") {
         fixture.serverConnection(0).send("\r\n");
     }
-    SUBCASE("an answer") {
-        fixture.serverConnection(0).send(okResponse("stray", kOwnId));
+    SUBCASE("a response") {
+        fixture.serverConnection(0).send(okResponse("stray", kOwnIdHeader));
     }
-    SUBCASE("an answer whose end is missing") {
+    SUBCASE("a truncated response") {
         fixture.serverConnection(0).send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
     }
     REQUIRE(
@@ -457,13 +462,13 @@
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.getWithId("mine"), outcome.callback());
     REQUIRE(fixture.waitForRequestsOn(1, 1));
-    CHECK(fixture.serverConnection(0).count(kOwnId) == 0);
-    fixture.serverConnection(1).send(okResponse("ok", kOwnId));
+    CHECK(fixture.serverConnection(0).count(kOwnIdHeader) == 0);
+    fixture.serverConnection(1).send(okResponse("ok", kOwnIdHeader));
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.response.body == "ok");
 }
 
-TEST_CASE("an answer that a handler gives late or twice goes to its own request alone") {
+TEST_CASE("a late or repeated response of a handler does not reach another request") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -479,7 +484,7 @@
         CHECK(client.count("one again") == 0);
         CHECK(client.count("HTTP/1.1 200") == 2);
     }
-    SUBCASE("late, when its client has come back on a connection of its own") {
+    SUBCASE("late, after the client has connected again") {
         client.reset();
         RawConnection next(fixture.loop, fixture.server->address());
         next.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/tests/cluster/http_pool_test.cpp
+++ b/tests/cluster/http_pool_test.cpp
@@ -1,4 +1,4 @@
-// The connections that the HTTP client keeps, against raw peers on loopback.
+// Tests of the HTTP client's connection pool, against raw TCP servers on loopback.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 using testing::RawServer;
 using testing::runUntil;
 
-TEST_CASE("an idle connection is used again") {
+TEST_CASE("an idle connection is reused") {
     HttpClientFixture fixture;
     for (std::size_t request = 1; request <= 4; ++request) fixture.completeExchange(0, request);
     CHECK(fixture.client.counters().connections_opened == 1);
@@ -21,7 +21,7 @@
     CHECK(fixture.server.connections.size() == 1);
 }
 
-TEST_CASE("the connection that was used last is used first") {
+TEST_CASE("the most recently used idle connection is reused first") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder first;
     HttpOutcomeRecorder second;
@@ -38,7 +38,7 @@
     CHECK(fixture.serverConnection(1).count("\r\n\r\n") == 1);
 }
 
-TEST_CASE("over the limit of connections nothing is sent") {
+TEST_CASE("a call over the connection limit is not sent") {
     HttpClientFixture fixture;
     HttpCall call = fixture.get();
     call.max_connections = 1;
@@ -59,15 +59,15 @@
 TEST_CASE("the peer closes an idle connection") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1);
-    SUBCASE("and it is noticed") {
+    SUBCASE("and the client notices") {
         fixture.serverConnection(0).close();
         REQUIRE(runUntil(fixture.loop,
                          [&] { return fixture.client.connectionCount(fixture.server.address) == 0; }));
     }
-    SUBCASE("and the next call comes first") {
+    SUBCASE("and the next call is made before the client notices") {
         fixture.serverConnection(0).close();
     }
-    SUBCASE("by a reset, and the next call comes first") {
+    SUBCASE("by a reset, and the next call is made before the client notices") {
         fixture.serverConnection(0).reset();
     }
     fixture.completeExchange(1, 1);
@@ -75,7 +75,7 @@
     CHECK(fixture.client.connectionCount(fixture.server.address) == 1);
 }
 
-TEST_CASE("an idle connection that breaks under a request leaves it unknown") {
+TEST_CASE("a call on a reused connection that breaks is unknown") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1);
     HttpOutcomeRecorder outcome;
@@ -84,26 +84,26 @@
     REQUIRE(fixture.waitForOutcome(outcome));
     CHECK(outcome.result.verdict == Verdict::unknown);
     CHECK_FALSE(outcome.result.unreachable);
-    CHECK(fixture.server.connections.size() == 1);  // nothing was sent again
+    CHECK(fixture.server.connections.size() == 1);  // the call is not retried
 }
 
-TEST_CASE("a second answer never reaches another call") {
+TEST_CASE("a second response never reaches another call") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder first;
     fixture.client.send(fixture.getWithId("a"), first.callback());
     REQUIRE(fixture.waitForRequestsOn(0, 1));
     const std::string own = okResponse("a", "Request-Id: a\r\n");
-    SUBCASE("it comes with the first one") {
+    SUBCASE("it arrives with the first one") {
         fixture.serverConnection(0).send(own + own);
     }
-    SUBCASE("it comes on the idle connection") {
+    SUBCASE("it arrives on the idle connection") {
         fixture.serverConnection(0).send(own);
         REQUIRE(fixture.waitForOutcome(first));
         fixture.serverConnection(0).send(own);
         REQUIRE(runUntil(fixture.loop,
                          [&] { return fixture.client.connectionCount(fixture.server.address) == 0; }));
     }
-    SUBCASE("it waits in the socket when the next call comes") {
+    SUBCASE("it is in the socket buffer when the next call is made") {
         fixture.serverConnection(0).send(own);
         REQUIRE(fixture.waitForOutcome(first));
         fixture.serverConnection(0).send(own);
@@ -117,14 +117,14 @@
                fixture.serverConnection(connection).count("\r\n\r\n") == requests;
     };
     REQUIRE(runUntil(fixture.loop, [&] { return arrivedOn(0, 2) || arrivedOn(1, 1); }));
-    // On the first connection where the stray answer came only just then; it is dropped there.
+    // The call may use the first connection if the second response arrives only then; it is discarded there.
     fixture.serverConnection(arrivedOn(0, 2) ? 0 : 1).send(okResponse("b", "Request-Id: b\r\n"));
     REQUIRE(fixture.waitForOutcome(second));
     CHECK(second.result.verdict == Verdict::answered);
     CHECK(second.result.response.body == "b");
 }
 
-TEST_CASE("an idle connection is closed before the server does it") {
+TEST_CASE("an idle connection is closed before the server's keep-alive time ends") {
     HttpClientFixture fixture;
     const SteadyTime start = fixture.loop.now();
     fixture.completeExchange(0, 1, "Keep-Alive: timeout=1, max=100\r\n");
@@ -135,13 +135,13 @@
     CHECK(fixture.client.connectionCount(fixture.server.address) == 0);
 }
 
-TEST_CASE("a connection is not kept where the server keeps none") {
+TEST_CASE("a connection is not kept if the server's keep-alive time is 0") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1, "Keep-Alive: timeout=0\r\n");
     REQUIRE(runUntil(fixture.loop, [&] { return fixture.serverConnection(0).closed; }));
 }
 
-TEST_CASE("a forgotten address keeps no connections") {
+TEST_CASE("draining an address closes idle connections at once and others after their response") {
     HttpClientFixture fixture;
     fixture.completeExchange(0, 1);
     HttpOutcomeRecorder open;
@@ -165,7 +165,7 @@
     fixture.completeExchange(2, 1);
 }
 
-TEST_CASE("calls can be made from done") {
+TEST_CASE("a done callback can make further calls") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder last;
     HttpCall refused = fixture.get();
@@ -188,7 +188,7 @@
     CHECK(fixture.client.counters().connections_opened == 3);
 }
 
-TEST_CASE("a client that ends drops what is open") {
+TEST_CASE("destroying the client closes its connections without running callbacks") {
     EventLoop loop;
     RawServer server(loop);
     HttpOutcomeRecorder outcome;
--- a/tests/cluster/http_refusal_test.cpp
+++ b/tests/cluster/http_refusal_test.cpp
@@ -1,4 +1,5 @@
-// What the HTTP server refuses and which connections it closes, with raw clients on loopback.
+// Tests of the requests that the HTTP server rejects and the connections it closes, with raw TCP clients on
+// loopback.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,7 +16,8 @@
 using testing::runUntil;
 using testing::statusLine;
 
-TEST_CASE("a request that is not whole reaches no handler, and its connection ends with the client's") {
+TEST_CASE(
+    "an incomplete request reaches no handler, and its connection is closed when the client closes it") {
     const std::vector<std::string> parts{
         "POST /c HT",
         "POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n",
@@ -40,7 +42,7 @@
     }
 }
 
-TEST_CASE("what is too large is refused and reaches no handler") {
+TEST_CASE("an oversized request is rejected and reaches no handler") {
     HttpServerFixture fixture;
     HttpLimits limits;
     limits.max_body_bytes = 1000;
@@ -74,7 +76,7 @@
     CHECK(fixture.requests.empty());
 }
 
-TEST_CASE("bodies up to the limit are taken") {
+TEST_CASE("a body of the maximum size is accepted") {
     HttpServerFixture fixture;
     HttpLimits limits;
     limits.max_body_bytes = 1000;
@@ -85,7 +87,7 @@
     CHECK(fixture.requests[0].request.body.size() == 1000);
 }
 
-TEST_CASE("a request whose end is in doubt is refused, and nothing after it is read") {
+TEST_CASE("a request with ambiguous framing is rejected, and nothing after it is parsed") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -114,7 +116,7 @@
     SUBCASE("two codings") {
         head += "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n";
     }
-    SUBCASE("a coding that is not quite one") {
+    SUBCASE("a coding that ends in chunked") {
         head += "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n";
     }
     SUBCASE("chunks twice") {
@@ -148,7 +150,7 @@
     CHECK(client.count("HTTP/1.1 ") == 1);
 }
 
-TEST_CASE("a method that is not served gets 501") {
+TEST_CASE("an unsupported method gets 501") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -170,7 +172,7 @@
     CHECK(fixture.requests.empty());
 }
 
-TEST_CASE("an answer with a header that cannot be sent becomes 500") {
+TEST_CASE("a response with an invalid header becomes 500") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -180,7 +182,7 @@
     CHECK(statusLine(client) == "HTTP/1.1 500 Internal Server Error");
 }
 
-TEST_CASE("a header that takes too long closes its connection, an idle one stays") {
+TEST_CASE("the header timeout closes slow connections but not idle ones") {
     HttpServerFixture fixture;
     HttpLimits limits;
     limits.header_timeout = Millis(150);
--- a/tests/cluster/http_test.cpp
+++ b/tests/cluster/http_test.cpp
@@ -1,4 +1,5 @@
-// Requests and answers of the HTTP server, with raw clients on loopback and with the client of the cluster.
+// Tests of the HTTP server: parsing of requests and writing of responses, against raw TCP clients and
+// EvhttpClient on loopback.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -13,7 +14,7 @@
 using testing::runUntil;
 using testing::statusLine;
 
-TEST_CASE("a request reaches the handler as it was sent, and its answer the client") {
+TEST_CASE("a request reaches the handler unchanged, and its response the client") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send(
@@ -36,7 +37,7 @@
     CHECK(client.count("Content-Type:") == 0);
     CHECK(bodyOf(client) == "fine");
     CHECK(fixture.server->openRequests() == 0);
-    fixture.requests[0].respond({200, {}, "again", false});  // only the first answer counts
+    fixture.requests[0].respond({200, {}, "again", false});  // only the first response has an effect
     client.send("GET /next HTTP/1.1\r\n\r\n");
     REQUIRE(fixture.waitForRequests(2));
     CHECK(client.count("again") == 0);
@@ -58,7 +59,7 @@
     }
 }
 
-TEST_CASE("a body in chunks is handed over whole") {
+TEST_CASE("a chunked body is passed to the handler complete") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     const std::string bytes =
@@ -96,7 +97,7 @@
     REQUIRE(fixture.waitForText(client, "done"));
 }
 
-TEST_CASE("requests in a row are handled one after the other") {
+TEST_CASE("pipelined requests are handled one after the other") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send(
@@ -112,13 +113,13 @@
     CHECK(fixture.requests[1].request.body == "ab");
     fixture.requests[1].respond({200, {}, "two", false});
     REQUIRE(fixture.waitForText(client, "two"));
-    CHECK(fixture.requests.size() == 2);  // the third is not whole
+    CHECK(fixture.requests.size() == 2);  // the third request is incomplete
     client.send("Host: h\r\n\r\n");
     REQUIRE(fixture.waitForRequests(3));
     CHECK(client.received.find("one") < client.received.find("two"));
 }
 
-TEST_CASE("an answer after the client has left is dropped") {
+TEST_CASE("a response after the client has disconnected is dropped") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -134,7 +135,7 @@
     CHECK(fixture.server->openRequests() == 0);
 }
 
-TEST_CASE("an answer after the server has ended is dropped") {
+TEST_CASE("a response after the server was destroyed is dropped") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -155,7 +156,7 @@
     fixture.server.reset();
 }
 
-TEST_CASE("answers ask to close where they should") {
+TEST_CASE("responses carry Connection: close if requested by the response or the server") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     RawConnection second(fixture.loop, fixture.server->address());
@@ -163,7 +164,7 @@
     second.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
     REQUIRE(fixture.waitForRequests(2));
     bool close = false;
-    SUBCASE("by the answer") {
+    SUBCASE("by the response") {
         close = true;
     }
     SUBCASE("by the server") {
@@ -178,7 +179,7 @@
     CHECK(bodyOf(client) == "ok");
 }
 
-TEST_CASE("a server that stops listening serves the connections it has") {
+TEST_CASE("a server that stops listening still serves open connections") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     REQUIRE(runUntil(fixture.loop, [&] { return fixture.server->connections() == 1; }));
@@ -191,7 +192,7 @@
     REQUIRE(fixture.waitForText(client, "ok"));
 }
 
-TEST_CASE("answers without a body") {
+TEST_CASE("responses without a body") {
     HttpServerFixture fixture;
     RawConnection client(fixture.loop, fixture.server->address());
     client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -202,7 +203,7 @@
     CHECK(bodyOf(client).empty());
 }
 
-TEST_CASE("the client and the server of the cluster understand each other") {
+TEST_CASE("the HTTP client and server interoperate") {
     constexpr std::size_t kCalls = 50;
     HttpServerFixture fixture;
     EvhttpClient client(fixture.loop);
--- a/tests/cluster/loopback_peers.hpp
+++ b/tests/cluster/loopback_peers.hpp
@@ -1,5 +1,5 @@
-// For tests on real loopback sockets: drives an event loop until something holds, and plays raw TCP peers on
-// it.
+// Helpers for tests on loopback sockets: run an event loop until a condition holds, and raw TCP peers on that
+// loop.
 #pragma once
 
 #include <event2/buffer.h>
@@ -25,7 +25,7 @@
 
 inline constexpr Millis kTestLimit{10'000};
 
-// Runs the loop until the condition holds; false if it does not within the limit.
+// Runs the loop until the condition holds. Returns false if it does not hold within the limit.
 inline bool runUntil(EventLoop& loop, const std::function<bool()>& holds, Millis limit = kTestLimit) {
     bool over = false;
     const TimerHandle deadline = loop.after(limit, [&over] { over = true; });
@@ -33,13 +33,13 @@
     return holds();
 }
 
-// An address on loopback where nothing listens.
+// A loopback address on which nothing listens.
 inline NodeAddress closedAddress() {
     const Socket socket = listenOn({"127.0.0.1", 0});
     return localAddress(socket.descriptor());
 }
 
-// One end of a connection that speaks bytes.
+// One end of a TCP connection that sends and receives raw bytes.
 class RawConnection {
 public:
     RawConnection(EventLoop& loop, evutil_socket_t socket)
@@ -55,7 +55,7 @@
     ~RawConnection() { close(); }
 
     void send(const std::string& bytes) { bufferevent_write(stream_.get(), bytes.data(), bytes.size()); }
-    // Closes at once, without a turn of the loop; reset() sends a reset.
+    // Closes at once, without a loop iteration. reset() closes with a TCP reset.
     void close() {
         if (!stream_) return;
         const evutil_socket_t socket = bufferevent_getfd(stream_.get());
@@ -68,14 +68,14 @@
         close();
     }
     bool sentAll() const { return evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0; }
-    // Says that nothing more will be sent, and goes on reading.
+    // Half-closes the connection: sends the end of the stream and continues to read.
     void shutdownSending() { ::shutdown(bufferevent_getfd(stream_.get()), SHUT_WR); }
-    // Takes nothing in any more.
+    // Stops reading from the socket.
     void stopReading() { bufferevent_disable(stream_.get(), EV_READ); }
 
     std::string received;
-    bool closed = false;  // by the other side
-    // How often a text occurs in what was received.
+    bool closed = false;  // by the peer, or broken
+    // The number of occurrences of a text in the received bytes.
     std::size_t count(const std::string& text) const {
         std::size_t times = 0;
         for (auto at = received.find(text); at != std::string::npos; at = received.find(text, at + 1))
--- a/tests/cluster/manual_scheduler.hpp
+++ b/tests/cluster/manual_scheduler.hpp
@@ -1,5 +1,5 @@
-// A scheduler for tests of parts that have a thread of their own: it collects what is posted, and timers, and
-// runs them when asked.
+// A scheduler for tests of components with a thread of their own. It queues posted work and timers, and the
+// test decides when they run.
 #pragma once
 
 #include <chrono>
@@ -22,9 +22,9 @@
     TimerHandle after(Millis, std::function<void()> work) override {
         auto pending = std::make_shared<std::function<void()>>(std::move(work));
         timers_.push_back(pending);
-        return std::make_unique<CollectedTimer>(std::move(pending));
+        return std::make_unique<ManualTimer>(std::move(pending));
     }
-    // Lets the time of all timers come that are set now.
+    // Runs all timers that are pending now.
     void fireTimers() {
         for (const auto& timer : std::exchange(timers_, {})) {
             const auto pending = timer.lock();
@@ -38,7 +38,7 @@
         }
         arrived_.notify_one();
     }
-    // Runs what is posted until the condition holds. False if nothing arrives for long.
+    // Runs posted work until the condition holds. Returns false if none is posted for kMaxWait.
     bool runUntil(const std::function<bool()>& holds) {
         while (!holds()) {
             const std::function<void()> work = next();
@@ -47,7 +47,7 @@
         }
         return true;
     }
-    // Runs what is there already.
+    // Runs the work that is already posted.
     void runPosted() {
         while (true) {
             std::function<void()> work;
@@ -62,26 +62,25 @@
     }
 
 private:
-    class CollectedTimer : public Timer {
+    class ManualTimer : public Timer {
     public:
-        explicit CollectedTimer(std::shared_ptr<std::function<void()>> pending)
-            : pending_(std::move(pending)) {}
+        explicit ManualTimer(std::shared_ptr<std::function<void()>> pending) : pending_(std::move(pending)) {}
 
     private:
         std::shared_ptr<std::function<void()>> pending_;
     };
 
-    static constexpr std::chrono::seconds kLongestWait{20};
+    static constexpr std::chrono::seconds kMaxWait{20};
 
     std::function<void()> next() {
         std::unique_lock lock(mutex_);
-        if (!arrived_.wait_for(lock, kLongestWait, [this] { return !posted_.empty(); })) return nullptr;
+        if (!arrived_.wait_for(lock, kMaxWait, [this] { return !posted_.empty(); })) return nullptr;
         std::function<void()> work = std::move(posted_.front());
         posted_.pop_front();
         return work;
     }
 
-    std::vector<std::weak_ptr<std::function<void()>>> timers_;  // those that ended are gone
+    std::vector<std::weak_ptr<std::function<void()>>> timers_;  // expired if destroyed or run
     std::mutex mutex_;
     std::condition_variable arrived_;
     std::deque<std::function<void()>> posted_;
--- a/tests/cluster/metrics_test.cpp
+++ b/tests/cluster/metrics_test.cpp
@@ -1,5 +1,5 @@
-// The figures that a process tells: their form, the address, and what the HTTP client counts of dropped
-// answers.
+// Tests of the metrics of a process: their text format, the metrics server, and the HTTP client's counters of
+// rejected responses.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
 using testing::RawServer;
 using testing::runUntil;
 
-TEST_CASE("figures stand one a line, each with its prefix") {
+TEST_CASE("metrics are written one per line, each with the prefix") {
     MetricsText text("part_");
     text.add("calls", 3);
     text.add("failures", 0);
@@ -25,7 +25,7 @@
     CHECK(text.take().empty());
 }
 
-TEST_CASE("a violated invariant is counted and told") {
+TEST_CASE("a violated invariant is counted and reported") {
     CHECK(checkInvariant(Invariant::grants_are_open, true, "holds"));
     CHECK(invariantViolations() == 0);
     CHECK_FALSE(checkInvariant(Invariant::grants_are_open, false, "planted by a test"));
@@ -36,7 +36,7 @@
     CHECK(invariantViolations() == 0);
 }
 
-TEST_CASE("a metrics server answers with the figures of the moment") {
+TEST_CASE("a metrics server returns the current metrics") {
     EventLoop loop;
     const NodeAddress address = closedAddress();
     int asked = 0;
@@ -55,14 +55,14 @@
     }
 }
 
-TEST_CASE("an address that is taken costs the figures, not the process") {
+TEST_CASE("an address in use disables the metrics server without an exception") {
     EventLoop loop;
     const RawServer other(loop);
     CHECK_NOTHROW(MetricsServer(loop, other.address, [] { return std::string(); }));
     CHECK_NOTHROW(MetricsServer(loop, {"127.0.0.1", 0}, [] { return std::string(); }));
 }
 
-TEST_CASE("an answer whose end cannot be told is counted") {
+TEST_CASE("a response with ambiguous framing is counted") {
     HttpClientFixture fixture;
     HttpOutcomeRecorder outcome;
     fixture.client.send(fixture.getWithId("mine"), outcome.callback());
--- a/tests/cluster/simulation.hpp
+++ b/tests/cluster/simulation.hpp
@@ -1,5 +1,6 @@
-// A simulated world for tests of the planes: one clock, a network that delays, loses and cuts, and nothing
-// that sleeps. Everything is drawn from the seed, so a play repeats exactly.
+// Deterministic simulation for tests of the planes: one virtual clock, and a network that delays, loses,
+// duplicates and partitions traffic. Nothing sleeps. All random values come from the seed, so a run can be
+// repeated exactly.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +17,11 @@
 
 namespace amberswitch::cluster::simulation {
 
-// The one clock and event queue of a play.
+// The virtual clock, event queue and random generator of a simulation.
 class World {
 public:
     explicit World(std::uint64_t seed) : random_(seed) {}
-    // What is still due may hold timers, which cancel themselves here.
+    // Pending work may own timers, whose destructors call cancel().
     ~World() {
         while (!queue_.empty()) queue_.extract(queue_.begin());
     }
@@ -29,9 +30,10 @@
 
     SteadyTime now() const { return now_; }
     std::mt19937_64& random() { return random_; }
-    // Uniform in [0, 1).
+    // A random number, uniform in [0, 1).
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
+    // Schedules `work` and returns an id for cancel().
     std::uint64_t at(SteadyTime when, std::function<void()> work) {
         const std::uint64_t id = ++last_id_;
         queue_.emplace(std::make_pair(when, id), std::move(work));
@@ -44,13 +46,13 @@
         queue_.erase({found->second, id});
         times_.erase(found);
     }
-    // Plays everything that is due until `span` has passed.
+    // Runs all work that is due within `span`, then advances the clock to its end.
     void run(Millis span) {
         const SteadyTime end = now_ + span;
         while (!queue_.empty() && queue_.begin()->first.first <= end) step();
         now_ = end;
     }
-    // Plays until the condition holds or the span is over; tells whether it holds.
+    // Runs until the condition holds or the span has passed. Returns whether it holds.
     bool runUntil(const std::function<bool()>& holds, Millis span) {
         const SteadyTime end = now_ + span;
         while (!holds()) {
@@ -80,7 +82,7 @@
     std::map<std::uint64_t, SteadyTime> times_;
 };
 
-// The scheduler of one process. kill() makes all its pending and later work vanish.
+// The scheduler of one simulated process. After kill(), its pending and later work never runs.
 class SimulatedScheduler : public Scheduler {
 public:
     explicit SimulatedScheduler(World& world) : world_(world), state_(std::make_shared<State>(world)) {}
@@ -105,7 +107,7 @@
         });
     }
     void kill() { state_->alive = false; }
-    // The process stands still until then: what is due waits.
+    // Pauses the process: work that becomes due is deferred until then.
     void freeze(SteadyTime until) { state_->frozen_until = until; }
     void freeze(Millis span) { freeze(world_.now() + span); }
     void stepWallClock(std::int64_t by_ms) { wall_step_ms_ += by_ms; }
@@ -145,22 +147,22 @@
     std::int64_t wall_step_ms_ = 0;
 };
 
-// Connects the transports of a play.
+// The simulated network that connects the transports.
 class Network {
 public:
     explicit Network(World& world) : world_(world) {}
 
     Millis delay{1};
     Millis jitter{1};
-    std::uint64_t requests = 0;  // sent so far
-    double loss = 0;             // share of requests and of answers that are lost
-    // Share of requests that arrive twice, the second time up to duplicate_delay later.
+    std::uint64_t requests = 0;  // number of calls so far
+    double loss = 0;             // share of requests and of replies that are lost
+    // Share of requests that are delivered twice; the second delivery is up to duplicate_delay later.
     double duplication = 0;
     Millis duplicate_delay{300};
-    bool cuts_in_flight = false;                    // a cut also loses what is on its way
-    std::map<std::string, std::uint64_t> bytes_to;  // sent to each machine: bodies of requests and answers
-    // What the link of each machine carries in a millisecond, outwards; links that are not named have no
-    // bound.
+    bool cuts_in_flight = false;                    // a cut also drops messages in flight
+    std::map<std::string, std::uint64_t> bytes_to;  // by receiving machine; request and reply bodies
+    // Outgoing bandwidth of each machine's link in bytes per millisecond; links without an entry are
+    // unlimited.
     std::map<std::string, double> link_bytes_per_ms;
 
     void cut(const std::string& from_ip, const std::string& to_ip) { cuts_.insert({from_ip, to_ip}); }
@@ -169,12 +171,13 @@
     void endIsolation(const std::string& ip) { isolated_.erase(ip); }
     void heal(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
     void healAll() { cuts_.clear(), isolated_.clear(); }
-    // Whether there is a way from one machine to the other, whatever is lost on it.
+    // Whether no cut or isolation separates the machines; `loss` is not considered.
     bool isReachable(const std::string& from, const std::string& to) const {
         if (isolated_.contains(from) != isolated_.contains(to)) return false;
         return !cuts_.contains({from, to});
     }
-    // How long the machine's link needs to send so much, behind what waits there already.
+    // Reserves the machine's outgoing link and returns the time until all these bytes are sent, including the
+    // queueing delay behind earlier ones.
     Millis transmissionDelay(const std::string& from_ip, std::size_t bytes) {
         const auto link = link_bytes_per_ms.find(from_ip);
         if (link == link_bytes_per_ms.end()) return Millis(0);
@@ -185,7 +188,7 @@
                       static_cast<std::int64_t>(kMicrosPerMilli * static_cast<double>(bytes) / link->second));
         return std::chrono::ceil<Millis>(free_at - world_.now());
     }
-    // What arrives there meanwhile is handled when the machine wakes.
+    // Pauses a machine: messages that arrive meanwhile are handled at the end of the span.
     void freeze(const std::string& ip, Millis span) { frozen_until_[ip] = world_.now() + span; }
 
 private:
@@ -211,7 +214,7 @@
     std::map<std::string, SteadyTime> link_free_at_;
 };
 
-// The transport of one process at one address. Destroying it is the death of the process.
+// The transport of one simulated process at one address. Destroying it simulates a crash of the process.
 class MemoryTransport : public Transport {
 public:
     MemoryTransport(World& world, Network& network, NodeAddress self)
@@ -224,7 +227,7 @@
     }
 
     void serve(RequestHandler handler) override { handler_ = std::move(handler); }
-    // The process stands still until then: requests and answers to it wait.
+    // Pauses the process: requests and replies to it wait until then.
     void freeze(SteadyTime until) { frozen_until_ = until; }
 
     void call(const NodeAddress& to, Envelope request, Millis timeout,
--- a/tests/cluster/transport_contract.hpp
+++ b/tests/cluster/transport_contract.hpp
@@ -1,5 +1,5 @@
-// What every transport promises. A fixture gives two processes, `caller` and `callee` (null while it is
-// dead), and plays until a condition holds:
+// Contract tests for all implementations of Transport. A fixture provides the transports of two processes,
+// `caller` and `callee` (null while it is stopped), and runs until a condition holds:
 //   std::unique_ptr<Transport> caller, callee;
 //   NodeAddress callerAddress(), calleeAddress(), unusedAddress();
 //   void startCallee(); void stopCallee();
@@ -20,7 +20,7 @@
 inline constexpr Millis kLongTimeout{8000};
 inline constexpr Millis kShortTimeout{60};
 
-// Counts how often a call ended, and keeps the last result.
+// Counts the completions of a call and keeps the last result.
 struct CallRecorder {
     int completions = 0;
     CallResult result;
@@ -72,7 +72,7 @@
     CHECK(empty.result.reply.body.empty());
 }
 
-// Answers given later and in another order reach their own calls.
+// Replies sent later and in another order reach their own calls.
 template <class Fixture>
 void matchesAnswersToCalls() {
     constexpr std::size_t kCalls = 20;
@@ -102,7 +102,7 @@
 }
 
 template <class Fixture>
-void refusesWhereNobodyListens() {
+void refusesWithoutListener() {
     Fixture fixture;
     CallRecorder first;
     CallRecorder second;
@@ -116,7 +116,8 @@
     CHECK(second.completions == 1);
 }
 
-// A request that was handed over and not answered may have run. An answer after the timeout changes nothing.
+// A request that was delivered and not answered may have been executed. A reply after the timeout has no
+// effect.
 template <class Fixture>
 void timesOutAsUnknown() {
     Fixture fixture;
@@ -154,7 +155,7 @@
     CHECK(outcome.result.reply.body == "re:self");
 }
 
-// The callee dies with a call in hand: unknown. A new process at the address serves the next calls.
+// A call is unknown if the callee stops before it replies. A new process at the address serves later calls.
 template <class Fixture>
 void survivesARestart() {
     Fixture fixture;
@@ -164,7 +165,7 @@
     fixture.caller->call(fixture.calleeAddress(), {1, "lost"}, Millis(2000), lost.callback());
     REQUIRE(fixture.runUntil([&] { return static_cast<bool>(held); }));
     fixture.stopCallee();
-    held({0, "from the grave"});  // dropped
+    held({0, "stale"});  // dropped
     REQUIRE(fixture.runUntil([&] { return lost.completions > 0; }));
     CHECK(lost.result.verdict == Verdict::unknown);
     CallRecorder refused;
@@ -180,7 +181,7 @@
     CHECK(lost.completions == 1);
 }
 
-// `done` may call again, also where the call before was refused.
+// `done` may make further calls, also if the previous call was refused.
 template <class Fixture>
 void callsFromDone() {
     Fixture fixture;
--- a/tests/cluster/transport_test.cpp
+++ b/tests/cluster/transport_test.cpp
@@ -1,4 +1,5 @@
-// The contract of the transports, and what only the TCP transport does.
+// Runs the transport contract for the TCP and the in-memory transport, and tests the TCP transport and the
+// event loop.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -87,34 +88,36 @@
     return bytes + static_cast<char>(flags) + body;
 }
 
-std::string goodFrame(std::uint64_t id, unsigned flags, const std::string& body) {
+std::string validFrame(std::uint64_t id, unsigned flags, const std::string& body) {
     return frameBytes(static_cast<std::uint32_t>(kFrameHeaderBytes + body.size()), id, 5, flags, body);
 }
 
 }  // namespace
 
-TEST_CASE_TEMPLATE("a call is answered, later", Fixture, MemoryFixture, TcpFixture) {
+TEST_CASE_TEMPLATE("a call is answered asynchronously", Fixture, MemoryFixture, TcpFixture) {
     contract::answersACall<Fixture>();
 }
 TEST_CASE_TEMPLATE("bodies of any bytes and size arrive", Fixture, MemoryFixture, TcpFixture) {
     contract::carriesAnyBytes<Fixture>();
 }
-TEST_CASE_TEMPLATE("answers reach their own calls", Fixture, MemoryFixture, TcpFixture) {
+TEST_CASE_TEMPLATE("replies reach their own calls", Fixture, MemoryFixture, TcpFixture) {
     contract::matchesAnswersToCalls<Fixture>();
 }
-TEST_CASE_TEMPLATE("where nobody listens nothing was executed", Fixture, MemoryFixture, TcpFixture) {
-    contract::refusesWhereNobodyListens<Fixture>();
+TEST_CASE_TEMPLATE("a call to an address without a listener is not executed", Fixture, MemoryFixture,
+                   TcpFixture) {
+    contract::refusesWithoutListener<Fixture>();
 }
-TEST_CASE_TEMPLATE("a timeout is unknown and a late answer dropped", Fixture, MemoryFixture, TcpFixture) {
+TEST_CASE_TEMPLATE("a call that times out is unknown and its late reply is dropped", Fixture, MemoryFixture,
+                   TcpFixture) {
     contract::timesOutAsUnknown<Fixture>();
 }
 TEST_CASE_TEMPLATE("a process calls itself", Fixture, MemoryFixture, TcpFixture) {
     contract::callsItself<Fixture>();
 }
-TEST_CASE_TEMPLATE("calls get through after a restart", Fixture, MemoryFixture, TcpFixture) {
+TEST_CASE_TEMPLATE("calls succeed after the callee restarts", Fixture, MemoryFixture, TcpFixture) {
     contract::survivesARestart<Fixture>();
 }
-TEST_CASE_TEMPLATE("calls can be made from done", Fixture, MemoryFixture, TcpFixture) {
+TEST_CASE_TEMPLATE("a done callback can make further calls", Fixture, MemoryFixture, TcpFixture) {
     contract::callsFromDone<Fixture>();
 }
 
@@ -126,10 +129,11 @@
     CallRecorder second;
     transport.call(server.address, {5, "one"}, kLongTimeout, first.callback());
     transport.call(server.address, {5, "two"}, kLongTimeout, second.callback());
-    const std::string expected = goodFrame(1, 0, "one") + goodFrame(2, 0, "two");
+    const std::string expected = validFrame(1, 0, "one") + validFrame(2, 0, "two");
     REQUIRE(runUntil(
         loop, [&] { return !server.connections.empty() && server.connections[0]->received == expected; }));
-    server.connections[0]->send(goodFrame(2, 1, "2") + goodFrame(77, 1, "nobody's") + goodFrame(1, 1, "1"));
+    server.connections[0]->send(validFrame(2, 1, "2") + validFrame(77, 1, "unknown id") +
+                                validFrame(1, 1, "1"));
     REQUIRE(runUntil(loop, [&] { return first.completions > 0 && second.completions > 0; }));
     CHECK(first.result.reply.body == "1");
     CHECK(second.result.reply.body == "2");
@@ -158,12 +162,12 @@
     transport.call(server.address, {5, "two"}, kLongTimeout, next.callback());
     REQUIRE(runUntil(
         loop, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
-    server.connections[1]->send(goodFrame(2, 1, "ok"));
+    server.connections[1]->send(validFrame(2, 1, "ok"));
     REQUIRE(runUntil(loop, [&] { return next.completions > 0; }));
     CHECK(next.result.verdict == Verdict::answered);
 }
 
-TEST_CASE("tcp: answers to calls of a broken connection end no call of the next one") {
+TEST_CASE("tcp: replies to calls of a broken connection end no call on the next connection") {
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
@@ -177,17 +181,17 @@
     transport.call(server.address, {5, "two"}, kLongTimeout, after.callback());
     REQUIRE(runUntil(
         loop, [&] { return server.connections.size() == 2 && !server.connections[1]->received.empty(); }));
-    // A call has a number of its own for as long as the process lives, and is never sent again.
-    CHECK(server.connections[1]->received == goodFrame(2, 0, "two"));
-    server.connections[1]->send(goodFrame(1, 1, "late"));
-    server.connections[1]->send(goodFrame(2, 1, "own") + goodFrame(2, 1, "own again"));
+    // Call ids are unique during the lifetime of the process, and a call is never sent again.
+    CHECK(server.connections[1]->received == validFrame(2, 0, "two"));
+    server.connections[1]->send(validFrame(1, 1, "late"));
+    server.connections[1]->send(validFrame(2, 1, "own") + validFrame(2, 1, "own again"));
     REQUIRE(runUntil(loop, [&] { return after.completions > 0; }));
     CHECK(after.result.reply.body == "own");
     CallRecorder last;
     transport.call(server.address, {5, "three"}, kLongTimeout, last.callback());
     REQUIRE(runUntil(loop, [&] { return server.connections[1]->count("three") == 1; }));
     CHECK(last.completions == 0);
-    server.connections[1]->send(goodFrame(3, 1, "third"));
+    server.connections[1]->send(validFrame(3, 1, "third"));
     REQUIRE(runUntil(loop, [&] { return last.completions > 0; }));
     CHECK(last.result.reply.body == "third");
     CHECK(before.completions == 1);
@@ -195,13 +199,13 @@
     CHECK(after.completions == 1);
 }
 
-TEST_CASE("tcp: an answer goes to the connection of its request, or to none") {
+TEST_CASE("tcp: a reply is sent only on the connection of its request") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     std::vector<Responder> waiting;
     transport.serve([&](const Envelope&, Responder respond) { waiting.push_back(std::move(respond)); });
     RawConnection first(loop, transport.address());
-    first.send(goodFrame(1, 0, "one"));
+    first.send(validFrame(1, 0, "one"));
     REQUIRE(runUntil(loop, [&] { return waiting.size() == 1; }));
     SUBCASE("closed") {
         first.close();
@@ -209,18 +213,18 @@
     SUBCASE("reset") {
         first.reset();
     }
-    // The same caller again, which counts its calls from the start, as a new process does.
+    // The caller connects again and numbers its calls from 1, as a restarted process does.
     RawConnection second(loop, transport.address());
-    second.send(goodFrame(1, 0, "another"));
+    second.send(validFrame(1, 0, "another"));
     REQUIRE(runUntil(loop, [&] { return waiting.size() == 2; }));
     waiting[0]({5, "to the first"});
     waiting[1]({5, "to the second"});
-    const std::string expected = goodFrame(1, 1, "to the second");
+    const std::string expected = validFrame(1, 1, "to the second");
     REQUIRE(runUntil(loop, [&] { return second.received.size() >= expected.size(); }));
     CHECK(second.received == expected);
 }
 
-TEST_CASE("tcp: what surely never left was not executed when the connection breaks") {
+TEST_CASE("tcp: a call whose frame was never written is not executed when the connection breaks") {
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
@@ -238,7 +242,7 @@
     CHECK(last.result.verdict == Verdict::not_executed);
 }
 
-TEST_CASE("tcp: a silent peer gets a new connection after a timeout") {
+TEST_CASE("tcp: the connection to an unresponsive peer is closed after a timeout") {
     EventLoop loop;
     RawServer server(loop);
     TcpTransport transport(loop, {"127.0.0.1", 0});
@@ -250,16 +254,16 @@
     transport.call(server.address, {5, "open"}, kLongTimeout, open.callback());
     REQUIRE(runUntil(loop, [&] { return quick.completions > 0; }));
     CHECK(quick.result.verdict == Verdict::unknown);
-    CHECK_FALSE(server.connections[0]->closed);  // silent for a moment only
+    CHECK_FALSE(server.connections[0]->closed);  // not yet considered unresponsive
     REQUIRE(runUntil(loop, [&] { return open.completions > 0; }));
     CHECK(slow.result.verdict == Verdict::unknown);
     CHECK(open.result.verdict == Verdict::unknown);
     REQUIRE(runUntil(loop, [&] { return server.connections[0]->closed; }));
 }
 
-TEST_CASE("tcp: a timeout while the connection is made was not executed") {
+TEST_CASE("tcp: a call that times out while connecting is not executed") {
     EventLoop loop;
-    // The backlog of this listener is full, so further connections stay half open.
+    // The backlog of this listener is full, so further connections are not established.
     const Socket listener = listenOn({"127.0.0.1", 0});
     REQUIRE(listen(listener.descriptor(), 0) == 0);
     const NodeAddress address = localAddress(listener.descriptor());
@@ -281,7 +285,7 @@
     CHECK(loop.now() - start < Millis(900));
 }
 
-TEST_CASE("tcp: frames are read in any pieces") {
+TEST_CASE("tcp: frames are reassembled from arbitrary fragments") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     std::vector<std::string> handled;
@@ -290,19 +294,19 @@
         respond({5, "got " + request.body});
     });
     RawConnection client(loop, transport.address());
-    const std::string bytes = goodFrame(1, 0, "first") + goodFrame(2, 0, "") + goodFrame(3, 0, "third");
+    const std::string bytes = validFrame(1, 0, "first") + validFrame(2, 0, "") + validFrame(3, 0, "third");
     for (const char letter : bytes) {
         client.send(std::string(1, letter));
         REQUIRE(runUntil(loop, [&] { return client.sentAll(); }));
     }
     const std::string answers =
-        goodFrame(1, 1, "got first") + goodFrame(2, 1, "got ") + goodFrame(3, 1, "got third");
+        validFrame(1, 1, "got first") + validFrame(2, 1, "got ") + validFrame(3, 1, "got third");
     REQUIRE(runUntil(loop, [&] { return client.received.size() == answers.size(); }));
     CHECK(client.received == answers);
     CHECK(handled == std::vector<std::string>{"first", "", "third"});
 }
 
-TEST_CASE("tcp: what is not a frame closes the connection and reaches no handler") {
+TEST_CASE("tcp: an invalid frame closes the connection and reaches no handler") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     int handled = 0;
@@ -324,20 +328,20 @@
     CHECK(handled == 0);
 }
 
-TEST_CASE("tcp: a request cut short reaches no handler") {
+TEST_CASE("tcp: a truncated request reaches no handler") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     int handled = 0;
     transport.serve([&](const Envelope&, const Responder&) { ++handled; });
     RawConnection client(loop, transport.address());
-    client.send(goodFrame(1, 0, "cut short").substr(0, 20));
+    client.send(validFrame(1, 0, "cut short").substr(0, 20));
     REQUIRE(runUntil(loop, [&] { return client.sentAll(); }));
     client.shutdownSending();
     REQUIRE(runUntil(loop, [&] { return client.closed; }));
     CHECK(handled == 0);
 }
 
-TEST_CASE("tcp: a body over the limit is refused by the caller") {
+TEST_CASE("tcp: a call with a body over the limit throws") {
     EventLoop loop;
     TcpTransport transport(loop, {"127.0.0.1", 0});
     CallRecorder outcome;
@@ -347,13 +351,13 @@
     CHECK(outcome.completions == 0);
 }
 
-TEST_CASE("tcp: an address that cannot be listened on is an error that names it") {
+TEST_CASE("tcp: an address that cannot be listened on throws SocketError") {
     EventLoop loop;
     CHECK_THROWS_AS(TcpTransport(loop, {"not an address", 1}), SocketError);
     CHECK_THROWS_AS(TcpTransport(loop, {"192.0.2.1", 1}), SocketError);
 }
 
-TEST_CASE("loop: timers never run early, in order, and not once cancelled") {
+TEST_CASE("loop: timers run in order, never early, and not after they are cancelled") {
     EventLoop loop;
     std::vector<int> ran;
     const SteadyTime start = loop.now();
@@ -407,7 +411,7 @@
     other.join();
 }
 
-TEST_CASE("loop: run ends on stop, hears signals, and throws what a callback threw") {
+TEST_CASE("loop: run returns on stop, handles signals, and rethrows exceptions of callbacks") {
     EventLoop loop;
     loop.onSignal(SIGUSR1, [&] { loop.stop(); });
     loop.post([] { std::raise(SIGUSR1); });
