--- a/src/cluster/common/tcp_peer.hpp
+++ b/src/cluster/common/tcp_peer.hpp
@@ -1,4 +1,4 @@
-// The calling side of the TCP transport: all calls from this process to one address, on one connection.
+// The client side of the TCP transport: all calls from this process to one address, on one connection.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,24 @@
 
 namespace amberswitch::cluster {
 
-// Connects when a call needs it and stays connected. Calls wait while it connects, 1 s at most.
+// Connects on the first call and stays connected. While it connects, calls wait for
+// kConnectTimeout at most.
 class TcpPeer : private FrameListener {
 public:
     TcpPeer(EventLoop& loop, NodeAddress address);
     virtual ~TcpPeer() = default;
 
-    // As Transport::call. Throws std::length_error where the body is over kMaxBodyBytes.
+    // As Transport::call. Throws std::length_error if the body exceeds kMaxBodyBytes.
     void call(Envelope request, Millis timeout, std::function<void(CallResult)> done);
 
 private:
-    struct Call {
-        Envelope request;  // empty once it was sent
+    struct PendingCall {
+        Envelope request;  // empty once sent
         std::function<void(CallResult)> done;
         TimerHandle timer;
-        std::optional<std::uint64_t> offset;  // of its frame in the stream; none before it was sent
+        std::optional<std::uint64_t> offset;  // of its frame in the output stream; none before it is sent
     };
-    using Calls = std::map<std::uint64_t, Call>;
+    using PendingCalls = std::map<std::uint64_t, PendingCall>;
 
     void onConnected() override;
     void onFrame(Frame frame) override;
@@ -37,21 +38,22 @@
     void onClosed() override;
 
     void connect();
-    void send(std::uint64_t id, Call& call);
-    void timedOut(std::uint64_t id);
-    bool silentTooLong() const;
-    // Ends all calls: those whose frame surely never left as not_executed, the others as unknown.
-    void failAll();
+    void sendCall(std::uint64_t id, PendingCall& call);
+    void handleTimeout(std::uint64_t id);
+    bool isUnresponsive() const;
+    // Closes the connection and ends all calls: as not_executed if no byte of the frame was passed to the
+    // kernel, otherwise as unknown.
+    void failAllCalls();
 
     EventLoop& loop_;
     NodeAddress address_;
     std::unique_ptr<FrameConnection> connection_;
     bool connected_ = false;
     TimerHandle connect_timer_;
-    std::uint64_t last_id_ = 0;
-    Calls calls_;
-    // Since when this side has waited for bytes from the peer; none while nothing is owed.
-    std::optional<SteadyTime> silent_since_;
+    std::uint64_t last_call_id_ = 0;
+    PendingCalls pending_calls_;
+    // When this side began to wait for bytes from the peer; none while no call is open.
+    std::optional<SteadyTime> waiting_since_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/common/tcp_transport.hpp
+++ b/src/cluster/common/tcp_transport.hpp
@@ -1,4 +1,5 @@
-// The real transport between the cluster's processes: frames on TCP, one outgoing connection to each address.
+// The production transport between the cluster's processes: frames on TCP, with one outgoing connection to
+// each address.
 #pragma once
 
 #include <event2/listener.h>
@@ -18,34 +19,34 @@
 };
 using ListenerHandle = std::unique_ptr<evconnlistener, ListenerDeleter>;
 
-// Calls that are open when the transport is destroyed never hear their end; answers given after that are
+// The callbacks of calls that are open when the transport is destroyed never run; replies sent after that are
 // dropped.
 class TcpTransport : public Transport {
 public:
-    // Listens at once; port 0 takes any free one. Throws SocketError.
-    TcpTransport(EventLoop& loop, const NodeAddress& self);
+    // Starts listening; port 0 selects any free port. Throws SocketError.
+    TcpTransport(EventLoop& loop, const NodeAddress& address);
     ~TcpTransport() override;
 
-    // Throws SocketError where the address is not an IPv4 address.
+    // Throws SocketError if the address is not an IPv4 address.
     void call(const NodeAddress& to, Envelope request, Millis timeout,
               std::function<void(CallResult)> done) override;
     void serve(RequestHandler handler) override;
 
-    // Where it listens.
-    const NodeAddress& self() const { return self_; }
+    // The address that it listens on.
+    const NodeAddress& address() const { return address_; }
 
 private:
-    class Incoming;
+    class IncomingConnection;
 
     static void onAccept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
     void accept(evutil_socket_t socket);
 
     EventLoop& loop_;
-    NodeAddress self_;
+    NodeAddress address_;
     RequestHandler handler_;
     ListenerHandle listener_;
     std::map<NodeAddress, std::unique_ptr<TcpPeer>> peers_;
-    std::unordered_map<const Incoming*, std::shared_ptr<Incoming>> incoming_;
+    std::unordered_map<const IncomingConnection*, std::shared_ptr<IncomingConnection>> incoming_connections_;
 };
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/simulation.hpp
+++ b/tests/cluster/simulation.hpp
@@ -1,5 +1,6 @@
-// A simulated world for tests of the planes: one clock, a network that delays, loses and cuts, and nothing
-// that sleeps. Everything is drawn from the seed, so a play repeats exactly.
+// Deterministic simulation for tests of the planes: one virtual clock, and a network that delays, loses,
+// duplicates and partitions traffic. Nothing sleeps. All random values come from the seed, so a run can be
+// repeated exactly.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +17,11 @@
 
 namespace amberswitch::cluster::simulation {
 
-// The one clock and event queue of a play.
+// The virtual clock, event queue and random generator of a simulation.
 class World {
 public:
     explicit World(std::uint64_t seed) : random_(seed) {}
-    // What is still due may hold timers, which cancel themselves here.
+    // Pending work may own timers, whose destructors call cancel().
     ~World() {
         while (!queue_.empty()) queue_.extract(queue_.begin());
     }
@@ -29,9 +30,10 @@
 
     SteadyTime now() const { return now_; }
     std::mt19937_64& random() { return random_; }
-    // Uniform in [0, 1).
+    // A random number, uniform in [0, 1).
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
+    // Schedules `work` and returns an id for cancel().
     std::uint64_t at(SteadyTime when, std::function<void()> work) {
         const std::uint64_t id = ++last_id_;
         queue_.emplace(std::make_pair(when, id), std::move(work));
@@ -44,13 +46,13 @@
         queue_.erase({found->second, id});
         times_.erase(found);
     }
-    // Plays everything that is due until `span` has passed.
+    // Runs all work that is due within `span`, then advances the clock to its end.
     void run(Millis span) {
         const SteadyTime end = now_ + span;
         while (!queue_.empty() && queue_.begin()->first.first <= end) step();
         now_ = end;
     }
-    // Plays until the condition holds or the span is over; tells whether it holds.
+    // Runs until the condition holds or the span has passed. Returns whether it holds.
     bool runUntil(const std::function<bool()>& holds, Millis span) {
         const SteadyTime end = now_ + span;
         while (!holds()) {
@@ -80,7 +82,7 @@
     std::map<std::uint64_t, SteadyTime> times_;
 };
 
-// The scheduler of one process. kill() makes all its pending and later work vanish.
+// The scheduler of one simulated process. After kill(), its pending and later work never runs.
 class SimulatedScheduler : public Scheduler {
 public:
     explicit SimulatedScheduler(World& world) : world_(world), state_(std::make_shared<State>(world)) {}
@@ -105,7 +107,7 @@
         });
     }
     void kill() { state_->alive = false; }
-    // The process stands still until then: what is due waits.
+    // Pauses the process: work that becomes due is deferred until then.
     void freeze(SteadyTime until) { state_->frozen_until = until; }
     void freeze(Millis span) { freeze(world_.now() + span); }
     void stepWallClock(std::int64_t by_ms) { wall_step_ms_ += by_ms; }
@@ -145,37 +147,38 @@
     std::int64_t wall_step_ms_ = 0;
 };
 
-// Connects the transports of a play.
+// The simulated network that connects the transports.
 class Network {
 public:
     explicit Network(World& world) : world_(world) {}
 
     Millis delay{1};
     Millis jitter{1};
-    std::uint64_t requests = 0;  // sent so far
-    double loss = 0;             // share of requests and of answers that are lost
-    // Share of requests that arrive twice, the second time up to duplicate_delay later.
+    std::uint64_t requests = 0;  // number of calls so far
+    double loss = 0;             // share of requests and of replies that are lost
+    // Share of requests that are delivered twice; the second delivery is up to duplicate_delay later.
     double duplication = 0;
     Millis duplicate_delay{300};
-    bool cuts_in_flight = false;                    // a cut also loses what is on its way
-    std::map<std::string, std::uint64_t> bytes_to;  // sent to each machine: bodies of requests and answers
-    // What the link of each machine carries in a millisecond, outwards; links that are not named have no
-    // bound.
+    bool cuts_in_flight = false;                    // a cut also drops messages in flight
+    std::map<std::string, std::uint64_t> bytes_to;  // by receiving machine; request and reply bodies
+    // Outgoing bandwidth of each machine's link in bytes per millisecond; links without an entry are
+    // unlimited.
     std::map<std::string, double> link_bytes_per_ms;
 
     void cut(const std::string& from_ip, const std::string& to_ip) { cuts_.insert({from_ip, to_ip}); }
     void cutBoth(const std::string& a, const std::string& b) { cut(a, b), cut(b, a); }
     void isolate(const std::string& ip) { isolated_.insert(ip); }
-    void join(const std::string& ip) { isolated_.erase(ip); }
+    void endIsolation(const std::string& ip) { isolated_.erase(ip); }
     void heal(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
     void healAll() { cuts_.clear(), isolated_.clear(); }
-    // Whether there is a way from one machine to the other, whatever is lost on it.
-    bool connects(const std::string& from, const std::string& to) const {
+    // Whether no cut or isolation separates the machines; `loss` is not considered.
+    bool isReachable(const std::string& from, const std::string& to) const {
         if (isolated_.contains(from) != isolated_.contains(to)) return false;
         return !cuts_.contains({from, to});
     }
-    // How long the machine's link needs to send so much, behind what waits there already.
-    Millis sendingTime(const std::string& from_ip, std::size_t bytes) {
+    // Reserves the machine's outgoing link and returns the time until all these bytes are sent, including the
+    // queueing delay behind earlier ones.
+    Millis transmissionDelay(const std::string& from_ip, std::size_t bytes) {
         const auto link = link_bytes_per_ms.find(from_ip);
         if (link == link_bytes_per_ms.end()) return Millis(0);
         constexpr double kMicrosPerMilli = 1000;
@@ -185,20 +188,20 @@
                       static_cast<std::int64_t>(kMicrosPerMilli * static_cast<double>(bytes) / link->second));
         return std::chrono::ceil<Millis>(free_at - world_.now());
     }
-    // What arrives there meanwhile is handled when the machine wakes.
+    // Pauses a machine: messages that arrive meanwhile are handled at the end of the span.
     void freeze(const std::string& ip, Millis span) { frozen_until_[ip] = world_.now() + span; }
 
 private:
     friend class MemoryTransport;
-    bool passes(const std::string& from, const std::string& to) {
-        return connects(from, to) && world_.chance() >= loss;
+    bool isDelivered(const std::string& from, const std::string& to) {
+        return isReachable(from, to) && world_.chance() >= loss;
     }
-    void whenAwake(const std::string& ip, const std::function<void()>& work) {
+    void runWhenAwake(const std::string& ip, const std::function<void()>& work) {
         const auto found = frozen_until_.find(ip);
         if (found == frozen_until_.end() || world_.now() >= found->second) return work();
         world_.at(found->second, work);
     }
-    Millis draw() {
+    Millis drawDelay() {
         return delay +
                Millis(static_cast<std::int64_t>(world_.chance() * static_cast<double>(jitter.count() + 1)));
     }
@@ -211,7 +214,7 @@
     std::map<std::string, SteadyTime> link_free_at_;
 };
 
-// The transport of one process at one address. Destroying it is the death of the process.
+// The transport of one simulated process at one address. Destroying it simulates a crash of the process.
 class MemoryTransport : public Transport {
 public:
     MemoryTransport(World& world, Network& network, NodeAddress self)
@@ -224,7 +227,7 @@
     }
 
     void serve(RequestHandler handler) override { handler_ = std::move(handler); }
-    // The process stands still until then: requests and answers to it wait.
+    // Pauses the process: requests and replies to it wait until then.
     void freeze(SteadyTime until) { frozen_until_ = until; }
 
     void call(const NodeAddress& to, Envelope request, Millis timeout,
@@ -233,7 +236,7 @@
         const auto finish = [this, &network = network_, ip = self_.ip, alive = alive_, finished,
                              done = std::move(done)](const CallResult& result) {
             if (!*alive) return;
-            network.whenAwake(ip, [this, alive, finished, done, result] {
+            network.runWhenAwake(ip, [this, alive, finished, done, result] {
                 if (!*alive || std::exchange(*finished, true)) return;
                 if (world_.now() >= frozen_until_) return done(result);
                 world_.at(frozen_until_, [alive, done, result] {
@@ -243,12 +246,13 @@
         };
         world_.at(world_.now() + timeout, [finish] { finish({CallStatus::unknown, {}}); });
         ++network_.requests;
-        if (!network_.passes(self_.ip, to.ip)) return;
+        if (!network_.isDelivered(self_.ip, to.ip)) return;
         network_.bytes_to[to.ip] += request.body.size();
-        send(to, request, network_.draw() + network_.sendingTime(self_.ip, request.body.size()), finish);
+        send(to, request, network_.drawDelay() + network_.transmissionDelay(self_.ip, request.body.size()),
+             finish);
         if (network_.duplication == 0 || world_.chance() >= network_.duplication) return;
         const double late = world_.chance() * static_cast<double>(network_.duplicate_delay.count());
-        send(to, request, network_.draw() + Millis(static_cast<std::int64_t>(late)),
+        send(to, request, network_.drawDelay() + Millis(static_cast<std::int64_t>(late)),
              [](const CallResult&) {});
     }
 
@@ -257,7 +261,7 @@
               const std::function<void(const CallResult&)>& finish) {
         world_.at(world_.now() + delay, [this, alive = alive_, to, request, finish] {
             if (*alive)
-                network_.whenAwake(to.ip, [this, alive, to, request, finish] {
+                network_.runWhenAwake(to.ip, [this, alive, to, request, finish] {
                     if (*alive) arrive(to, request, finish);
                 });
         });
@@ -265,7 +269,7 @@
     void arrive(const NodeAddress& to, const Envelope& request,
                 const std::function<void(const CallResult&)>& finish) {
         const auto peer = network_.listeners_.find(to);
-        if (network_.cuts_in_flight && !network_.connects(self_.ip, to.ip)) return;
+        if (network_.cuts_in_flight && !network_.isReachable(self_.ip, to.ip)) return;
         if (peer == network_.listeners_.end() || !peer->second->handler_)
             return finish({CallStatus::not_executed, {}});
         World& world = world_;
@@ -279,11 +283,11 @@
             return;
         }
         peer->second->handler_(request, [&world, &network, from, to, finish, callee_alive](Envelope reply) {
-            if (!*callee_alive || !network.passes(to.ip, from)) return;
+            if (!*callee_alive || !network.isDelivered(to.ip, from)) return;
             network.bytes_to[from] += reply.body.size();
-            const Millis delay = network.draw() + network.sendingTime(to.ip, reply.body.size());
+            const Millis delay = network.drawDelay() + network.transmissionDelay(to.ip, reply.body.size());
             world.at(world.now() + delay, [&network, from, to, finish, reply = std::move(reply)] {
-                if (network.cuts_in_flight && !network.connects(to.ip, from)) return;
+                if (network.cuts_in_flight && !network.isReachable(to.ip, from)) return;
                 finish({CallStatus::answered, reply});
             });
         });
