--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,3 +1,5 @@
+// heronmount_drill: reads the simulator's protocol (wire.hpp) from standard input and writes the replies to
+// standard output. Exits with status 2 at the first bad line.
 #include <cstdio>
 #include <iostream>
 #include <string>
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -27,7 +27,7 @@
     const auto report = find(from, "serverStats");
     if (!report) return load;
     const auto put = [&load](std::string_view name, const element& value) {
-        double LoadReport::*const field = name == "rif"         ? &LoadReport::held
+        double LoadReport::*const field = name == "rif"         ? &LoadReport::inFlight
                                           : name == "q"         ? &LoadReport::queued
                                           : name == "busy"      ? &LoadReport::busy
                                           : name == "lat_ms"    ? &LoadReport::latencyMs
@@ -42,24 +42,28 @@
     return load;
 }
 
+// A Dispatcher and the names that the protocol uses for its workers.
 struct Instance {
     Dispatcher dispatcher;
     std::size_t classes, tenants;
     std::unordered_map<std::string, Worker> handles;
-    std::vector<std::string> names;
-    std::unordered_set<std::uint64_t> known;  // request ids given to this instance
+    std::vector<std::string> names;           // by handle
+    std::unordered_set<std::uint64_t> known;  // ids of the requests that arrived at this instance
 
+    // The handle of a worker, a new one if the name is new.
     Worker handle(std::string_view name) {
         const auto [at, fresh] = handles.try_emplace(std::string(name), static_cast<Worker>(names.size()));
         if (fresh) names.push_back(at->first);
         return at->second;
     }
-    Worker listed(std::string_view name) const {
+    // Throws BadLine if no roster has named the worker.
+    Worker knownWorker(std::string_view name) const {
         const auto at = handles.find(std::string(name));
         if (at == handles.end()) bad("unknown worker '" + std::string(name) + "'");
         return at->second;
     }
-    std::uint64_t given(std::uint64_t id) const {
+    // Returns the id. Throws BadLine if no such request has arrived.
+    std::uint64_t knownRequest(std::uint64_t id) const {
         if (!known.contains(id)) bad("unknown request " + std::to_string(id));
         return id;
     }
@@ -69,8 +73,8 @@
     RosterUpdate update;
     integer(from, "generation", 0);
     update.mode = choice<RosterMode>(text(from, "mode"), "mode",
-                                     {{"incr", RosterMode::changes},
-                                      {"total", RosterMode::whole},
+                                     {{"incr", RosterMode::incremental},
+                                      {"total", RosterMode::full},
                                       {"warm_copy", RosterMode::stale},
                                       {"lost", RosterMode::lost}});
     if (update.mode == RosterMode::lost) return update;
@@ -83,11 +87,11 @@
         e.zone = static_cast<int>(integer(record, "site", 0));
         e.kind = static_cast<int>(integer(record, "machine", 0));
         e.cell = static_cast<int>(integer(record, "cluster", 0));
-        e.standing =
-            choice<Standing>(text(record, "stageState"), "stageState",
-                             {{"on", Standing::on}, {"fading", Standing::draining}, {"off", Standing::off}});
-        e.units = number(record, "units", 1);
-        e.since = Time(integer(record, "onlineSince", 0));
+        e.status = choice<WorkerStatus>(
+            text(record, "stageState"), "stageState",
+            {{"on", WorkerStatus::on}, {"fading", WorkerStatus::draining}, {"off", WorkerStatus::off}});
+        e.weight = number(record, "units", 1);
+        e.startedAt = Time(integer(record, "onlineSince", 0));
         update.entries.push_back(e);
     }
     return update;
@@ -108,27 +112,27 @@
     r.slots = number(from, "needs", 1);
     r.memory = number(from, "ramUnits", 0);
     const auto options = integer(from, "options", 0);
-    if (options & 1) r.hint = Nanos(integer(from, "hint", 0));
-    r.clientRepeat = options & 2;
+    if (options & 1) r.durationHint = Nanos(integer(from, "hint", 0));
+    r.isClientRetry = options & 2;
     if (const auto key = find(from, "nameKey")) {
-        r.hasKey = true;
-        r.key = as<std::uint64_t>(*key, "nameKey", "a whole number");
+        r.hasAffinityKey = true;
+        r.affinityKey = as<std::uint64_t>(*key, "nameKey", "a whole number");
     }
     instance.known.insert(r.id);
     return r;
 }
 
-std::uint32_t attempt(const object& from) {
-    const auto go = integer(from, "go");
-    if (go < 0) bad("field 'go' is out of range");
-    return static_cast<std::uint32_t>(go);
+std::uint32_t readAttempt(const object& from) {
+    const auto attempt = integer(from, "go");
+    if (attempt < 0) bad("field 'go' is out of range");
+    return static_cast<std::uint32_t>(attempt);
 }
 
 AttemptEnded readOutcome(const object& from, Instance& instance) {
     AttemptEnded ended;
-    ended.id = instance.given(requestId(from));
-    ended.attempt = attempt(from);
-    instance.listed(text(from, "worker"));
+    ended.id = instance.knownRequest(requestId(from));
+    ended.attempt = readAttempt(from);
+    instance.knownWorker(text(from, "worker"));
     ended.outcome = choice<Outcome>(text(from, "outcome"), "outcome",
                                     {{"ok", Outcome::ok},
                                      {"error", Outcome::error},
@@ -137,14 +141,14 @@
                                      {"connect_failed", Outcome::connectFailed},
                                      {"reset", Outcome::reset},
                                      {"cancelled", Outcome::cancelled},
-                                     {"moot", Outcome::moot}});
-    ended.took = Nanos(integer(from, "duration", 0));
-    ended.settled = flag(from, "settled", false);
+                                     {"moot", Outcome::notExecuted}});
+    ended.duration = Nanos(integer(from, "duration", 0));
+    ended.requestFinished = flag(from, "settled", false);
     ended.load = readLoad(from);
     return ended;
 }
 
-// Writes actions as lines, each with the instance's name.
+// Appends actions to `out` as lines, each with the name of the instance.
 struct Writer {
     std::string& out;
     std::string_view name;
@@ -182,7 +186,7 @@
         head("dispatch");
         field("tid", id(a.id));
         field("worker", workers[a.worker]);
-        if (a.stopAt.count() > 0) field("stopAt", a.stopAt.count());
+        if (a.deadline.count() > 0) field("stopAt", a.deadline.count());
         end();
     }
     void operator()(const Cancel& a) const {
@@ -194,7 +198,7 @@
     void operator()(const Refuse& a) const {
         head("refuse");
         field("tid", id(a.id));
-        if (a.retryIn.count() > 0) field("retryIn", a.retryIn.count());
+        if (a.retryAfter.count() > 0) field("retryIn", a.retryAfter.count());
         end();
     }
     void operator()(const Fail& a) const {
@@ -236,7 +240,7 @@
     Time now{0};
     std::int64_t turn = 0;
 
-    Instance& running(const std::string& name) {
+    Instance& instanceOf(const std::string& name) {
         const auto at = instances.find(name);
         if (at == instances.end()) bad("no instance '" + name + "' was started");
         return at->second;
@@ -260,22 +264,22 @@
         if (kind == "workItem") return readRequest(from, instance);
         if (kind == "response") return readOutcome(from, instance);
         if (kind == "tickDue") return TimerFired{need<std::uint64_t>(from, "tag", "a whole number")};
-        if (kind == "clientLeft") return ClientLeft{requestId(from)};  // may come late: the module ignores it
+        if (kind == "clientLeft") return ClientLeft{requestId(from)};  // ignored by the dispatcher if late
         if (kind == "streaming") {
-            instance.listed(text(from, "worker"));
-            return StreamStarted{instance.given(requestId(from)), attempt(from)};
+            instance.knownWorker(text(from, "worker"));
+            return StreamStarted{instance.knownRequest(requestId(from)), readAttempt(from)};
         }
         if (kind == "notice") {
-            instance.listed(text(from, "worker"));
+            instance.knownWorker(text(from, "worker"));
             const auto topic = integer(from, "topic");
             if (topic != 1 && topic != 2) return std::nullopt;
-            return AttemptNote{instance.given(requestId(from)), attempt(from), topic == 1,
-                               number(from, "level", 0)};
+            return AttemptProgress{instance.knownRequest(requestId(from)), readAttempt(from), topic == 1,
+                                   number(from, "level", 0)};
         }
         if (kind == "checked")
-            return ProbeAnswered{instance.listed(text(from, "worker")), text(from, "outcome") == "ok",
+            return ProbeAnswered{instance.knownWorker(text(from, "worker")), text(from, "outcome") == "ok",
                                  readLoad(from)};
-        if (kind == "heard") {  // schedulers share nothing: read, checked and dropped
+        if (kind == "heard") {  // instances share no data, so this is only checked
             integer(from, "author");
             text(from, "payload");
             return std::nullopt;
@@ -308,7 +312,7 @@
             start(name, from);
             return false;
         }
-        Instance& instance = running(name);
+        Instance& instance = instanceOf(name);
         if (kind == "detach") {
             instances.erase(name);
             return false;
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,5 +1,5 @@
-// The simulator's wire: one JSON value a line. Hosts any number of Dispatcher instances and keeps no
-// decision.
+// The simulator's protocol: one JSON object a line. A Codec translates between lines and the events and
+// actions of any number of Dispatcher instances; it makes no decisions of its own.
 #pragma once
 
 #include <memory>
@@ -12,13 +12,15 @@
 
 using BadLine = amberswitch::settings::BadField;
 
+// Reads lines of input and runs the Dispatcher instances that they name.
 class Codec {
 public:
     Codec();
     ~Codec();
-    // Takes one line of input. True when the line closed a batch and reply() holds what to write.
-    // Throws BadLine, saying what is wrong with the line.
+    // Handles one line of input. Returns true if the line closed a batch; reply() then holds the lines to
+    // write. Throws BadLine, which describes the error in the line.
     bool feed(std::string_view line);
+    // The output of the last closed batch. Valid until the next batch is opened.
     const std::string& reply() const;
 
 private:
--- a/bench/cluster_edge_bench.cpp
+++ b/bench/cluster_edge_bench.cpp
@@ -146,16 +146,16 @@
 heronmount::Settings pickSettings() {
     heronmount::Settings settings;
     heronmount::ClassSettings messages;
-    messages.goal = std::chrono::milliseconds(800);
-    messages.giveUp = std::chrono::seconds(60);
-    messages.effect = heronmount::Effect::keyed;
-    messages.window = messages.giveUp;
+    messages.targetLatency = std::chrono::milliseconds(800);
+    messages.clientTimeout = std::chrono::seconds(60);
+    messages.idempotency = heronmount::Idempotency::keyed;
+    messages.dedupWindow = messages.clientTimeout;
     messages.stretch = 1;
     settings.classes = {messages};
-    settings.fleetSize = 8;
+    settings.schedulerCount = 8;
     settings.maxAttempts = 3;
     settings.weights = heronmount::Weights::nominal;
-    settings.handshakePrice = 1;
+    settings.handshakeCost = 1;
     return settings;
 }
 
@@ -164,12 +164,12 @@
 public:
     explicit Picks(std::uint32_t servers) : module_(pickSettings(), 7) {
         heronmount::RosterUpdate roster;
-        roster.mode = heronmount::RosterMode::whole;
+        roster.mode = heronmount::RosterMode::full;
         for (std::uint32_t i = 0; i < servers; ++i) {
             heronmount::RosterEntry entry;
             entry.worker = i;
             entry.id = 1000 + i;
-            entry.units = 12;
+            entry.weight = 12;
             roster.entries.push_back(entry);
         }
         tell(std::move(roster));
@@ -185,8 +185,8 @@
             heronmount::AttemptEnded ended;
             ended.id = last_ - kOpen;
             ended.outcome = heronmount::Outcome::ok;
-            ended.settled = true;
-            ended.took = std::chrono::milliseconds(8);
+            ended.requestFinished = true;
+            ended.duration = std::chrono::milliseconds(8);
             tell(ended);
         }
     }
--- a/bench/crowd_bench.cpp
+++ b/bench/crowd_bench.cpp
@@ -32,8 +32,8 @@
     settings::Site s;
     s.classes = {"car-match"};
     s.module.classes.resize(1);
-    s.module.classes[0].goal = std::chrono::milliseconds(400);
-    s.module.classes[0].giveUp = std::chrono::hours(1);
+    s.module.classes[0].targetLatency = std::chrono::milliseconds(400);
+    s.module.classes[0].clientTimeout = std::chrono::hours(1);
     s.idleClose = std::chrono::seconds(5), s.connectTimeout = std::chrono::milliseconds(250);
     return s;
 }
--- a/src/cluster/edge/delivery_answer.cpp
+++ b/src/cluster/edge/delivery_answer.cpp
@@ -30,11 +30,11 @@
 
 DeliveryAnswer judgeNotExecuted(int status, bool rate_limited) {
     // Another dispatcher's attempt runs now, or the request itself is at fault: no other server helps.
-    if (status == kConflict) return ran(RunOutcome::unknown, Outcome::moot);
-    if (status == kBadRequest) return notRun(Outcome::moot, false);
+    if (status == kConflict) return ran(RunOutcome::unknown, Outcome::notExecuted);
+    if (status == kBadRequest) return notRun(Outcome::notExecuted, false);
     if (status == kWrongInstance) return notRun(Outcome::connectFailed, !rate_limited);
     // A ceiling is no sign of a server that is full.
-    return notRun(rate_limited ? Outcome::moot : Outcome::full, !rate_limited);
+    return notRun(rate_limited ? Outcome::notExecuted : Outcome::full, !rate_limited);
 }
 
 DeliveryAnswer judgeResponse(const HttpResponse& response, bool rate_limited) {
@@ -65,7 +65,7 @@
         case Verdict::not_executed: {
             // Without a connection nothing arrived, so that a ceiling does not count it.
             DeliveryAnswer answer =
-                notRun(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
+                notRun(outcome.unreachable ? Outcome::connectFailed : Outcome::notExecuted, true);
             answer.unreachable = outcome.unreachable;
             return answer;
         }
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -12,8 +12,8 @@
 
 using heronmount::Outcome;
 using heronmount::RequestId;
-using heronmount::Standing;
 using heronmount::Worker;
+using heronmount::WorkerStatus;
 
 constexpr std::uint32_t kMostSends = 3;           // inside one grant, all but the last surely not run
 constexpr Millis kAnswerGrace{100};               // the server itself answers 504 at its Deadline-Ms
@@ -70,25 +70,25 @@
 heronmount::Settings ServiceDispatcher::moduleSettings() const {
     heronmount::Settings settings;
     heronmount::ClassSettings messages;
-    messages.goal = schedule_target_;
-    messages.giveUp = std::chrono::seconds(60);
+    messages.targetLatency = schedule_target_;
+    messages.clientTimeout = std::chrono::seconds(60);
     // Attempts that may have run are told as settled, so that none is repeated inside a grant; this kind lets
     // a server that failed come back with a single trial.
-    messages.effect = heronmount::Effect::keyed;
-    messages.group = heronmount::Group::all;
-    messages.window = messages.giveUp;
+    messages.idempotency = heronmount::Idempotency::keyed;
+    messages.dedupScope = heronmount::DedupScope::all;
+    messages.dedupWindow = messages.clientTimeout;
     messages.stretch = 1;
     settings.classes = {messages};
-    settings.fleetSize = share_.edges;
-    settings.me = static_cast<std::uint32_t>(hashOf(edge_) % share_.edges);
+    settings.schedulerCount = share_.edges;
+    settings.schedulerIndex = static_cast<std::uint32_t>(hashOf(edge_) % share_.edges);
     settings.maxAttempts = module_attempts_;
     settings.weights = heronmount::Weights::nominal;
-    settings.handshakePrice = 1;  // connections are kept
-    settings.crossZonePrice = kCrossZonePrice;
+    settings.handshakeCost = 1;  // connections are kept
+    settings.crossZoneCost = kCrossZonePrice;
     // No budget for cold servers: these queue and refuse what they can't take, and a budget that is drawn
     // from what this edge was served lately would hold everything back where all servers of a service start
     // at once.
-    settings.cold = heronmount::Nanos(0);
+    settings.warmup = heronmount::Nanos(0);
     return settings;
 }
 
@@ -131,8 +131,8 @@
         seen[handle] = true;
     }
     for (Worker handle = 0; handle < servers_.size(); ++handle) {
-        if (seen[handle] || servers_[handle].entry.standing == Standing::off) continue;
-        servers_[handle].entry.standing = Standing::off;
+        if (seen[handle] || servers_[handle].entry.status == WorkerStatus::off) continue;
+        servers_[handle].entry.status = WorkerStatus::off;
         servers_[handle].on = false;
         changed = true;
         http_.forget(servers_[handle].address);
@@ -177,30 +177,30 @@
         added.entry.id = hashOf(uid);
         if (listed.warmup_remaining_ms > 0) {
             const Millis remaining(listed.warmup_remaining_ms);
-            added.entry.since = std::max(heronmount::Time(1), moduleTime() + remaining - kWarmUp);
+            added.entry.startedAt = std::max(heronmount::Time(1), moduleTime() + remaining - kWarmUp);
         }
     }
     Server& server = servers_[at->second];
-    const Standing standing = usable ? Standing::on : Standing::draining;
+    const WorkerStatus standing = usable ? WorkerStatus::on : WorkerStatus::draining;
     if (server.on && !usable && !listed.draining) http_.forget(listed.address);
     const double units = std::max<std::uint32_t>(1, listed.capacity);
     const int zone = zoneIndex(listed.zone);
-    const bool changed = fresh || server.entry.standing != standing || server.entry.units != units ||
+    const bool changed = fresh || server.entry.status != standing || server.entry.weight != units ||
                          server.entry.zone != zone || server.address != listed.address;
     server.address = listed.address;
-    server.entry.standing = standing;
-    server.entry.units = units;
+    server.entry.status = standing;
+    server.entry.weight = units;
     server.entry.zone = zone;
-    server.entry.crossing =
+    server.entry.zoneCostFactor =
         topology_.between(zone_, listed.zone) == Distance::other_region ? kCrossRegionFactor : 1;
-    server.on = standing == Standing::on;
+    server.on = standing == WorkerStatus::on;
     return changed;
 }
 
 void ServiceDispatcher::tellRoster() {
     if (!module_ || servers_.empty()) return;
     heronmount::RosterUpdate update;
-    update.mode = heronmount::RosterMode::whole;
+    update.mode = heronmount::RosterMode::full;
     for (const Server& server : servers_) update.entries.push_back(server.entry);
     tell(std::move(update));
 }
@@ -329,7 +329,7 @@
     heronmount::AttemptEnded ended;
     ended.id = action.id;
     ended.attempt = attempt;
-    ended.outcome = Outcome::moot;
+    ended.outcome = Outcome::notExecuted;
     tell(ended);
 }
 
@@ -388,8 +388,8 @@
         ended.id = id;
         ended.attempt = attempt;
         ended.outcome = answer.about_server;
-        ended.took = scheduler_.now() - delivery.sent_at;
-        ended.settled = !goes_on;
+        ended.duration = scheduler_.now() - delivery.sent_at;
+        ended.requestFinished = !goes_on;
         tell(ended);
     }
     if (!goes_on) finish(id, result);
--- a/src/consul/view.cpp
+++ b/src/consul/view.cpp
@@ -5,7 +5,7 @@
 
 namespace amberswitch::consul {
 
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 
 namespace {
 
@@ -132,7 +132,7 @@
         if (past_.size() >= most_) past_.erase(past_.begin());
         past_[state.told.name] = {flapsOf(state, now) + (state.bad ? 0 : 1), now, state.created};
         hold(address, state, std::nullopt);
-        state.told.standing = Standing::off;
+        state.told.standing = WorkerStatus::off;
         out.push_back(state.told);
         addresses_.erase(state.told.name);
         members_.erase(at);
@@ -174,7 +174,7 @@
             ++counters_.flaps, ++counters_.drained;
         }
         hold(address, state, std::nullopt);
-        told.standing = Standing::draining;
+        told.standing = WorkerStatus::draining;
     } else if ((state.bad || fresh) && flapsOf(state, now) > 1) {
         // The first time costs nothing; then each time costs twice the last.
         const double seconds = std::exp2(std::min(40.0, flapsOf(state, now) - 2)) *
@@ -182,10 +182,10 @@
         const double most = std::chrono::duration<double>(hold_.most).count();
         hold(address, state, now + Nanos(static_cast<std::int64_t>(std::min(seconds, most) * 1e9)));
         ++counters_.held;
-        told.standing = Standing::draining;
+        told.standing = WorkerStatus::draining;
     } else if (!state.heldUntil) {
         if (state.bad) ++counters_.restored;
-        told.standing = Standing::on;
+        told.standing = WorkerStatus::on;
     }
     state.bad = bad;
     if (!fresh && told == before.told) return;
@@ -199,7 +199,7 @@
         const std::string address = held_.begin()->second;
         State& state = members_.at(address);
         hold(address, state, std::nullopt);
-        state.told.standing = Standing::on;
+        state.told.standing = WorkerStatus::on;
         ++counters_.restored;
         out.push_back(state.told);
     }
--- a/src/consul/view.hpp
+++ b/src/consul/view.hpp
@@ -33,7 +33,7 @@
 
 struct Member {
     std::string name, address;
-    heronmount::Standing standing = heronmount::Standing::on;
+    heronmount::WorkerStatus standing = heronmount::WorkerStatus::on;
     double units = 1;
     int zone = 0, kind = 0, cell = 0;
     Time since{0};
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -90,8 +90,8 @@
 void Core::refuse(Time now, Transaction& t, Nanos retryIn) {
     if (t.answered) return;
     const ClassSettings& klass = site_.module.classes[t.klass];
-    const bool harmless = (!t.mayHaveRun && t.out == 0) || klass.effect == Effect::safe ||
-                          (klass.effect == Effect::keyed && klass.group == Group::all);
+    const bool harmless = (!t.mayHaveRun && t.out == 0) || klass.idempotency == Idempotency::safe ||
+                          (klass.idempotency == Idempotency::keyed && klass.dedupScope == DedupScope::all);
     if (placement_.on()) retryIn = placement_.refused(now, t.ticket, retryIn, site_.module.maxRetryAfter);
     if (harmless) {
         trace_(now, "refused t=%llu passes=%zu", static_cast<unsigned long long>(t.id), t.passes.size());
@@ -107,8 +107,8 @@
 
 Nanos Core::advice() const {
     const auto& allowed = site_.module;
-    return allowed.retryAdvice ? std::min<Nanos>(allowed.maxRetryAfter, std::chrono::milliseconds(100))
-                               : Nanos(0);
+    return allowed.mayAdviseRetry ? std::min<Nanos>(allowed.maxRetryAfter, std::chrono::milliseconds(100))
+                                  : Nanos(0);
 }
 
 void Core::turnedAway(std::uint32_t klass, bool unavailable) {
@@ -224,15 +224,17 @@
     if (t.answered || t.sealed || t.committed || !to.on || !to.side || now >= t.deadline) return false;
     if (placement_.on() && !placement_.allows(t.ticket, to.entry.worker)) return false;
     if (others > 0 && !site_.module.mayDuplicate) return false;
-    if (to.entry.classes ? !(to.entry.classes >> t.klass & 1)
-                         : klass.kind >= 0 && klass.kind != to.entry.kind)
+    if (to.entry.classMask ? !(to.entry.classMask >> t.klass & 1)
+                           : klass.kind >= 0 && klass.kind != to.entry.kind)
         return false;
-    if ((!t.mayHaveRun && others == 0) || klass.effect == Effect::safe) return true;
+    if ((!t.mayHaveRun && others == 0) || klass.idempotency == Idempotency::safe) return true;
     // Guards against a repeat that arrives after the window: ways differ by less than two ticks.
-    if (klass.effect == Effect::unsafe || now + 2 * site_.module.tick > t.anchoredAt + klass.window)
+    if (klass.idempotency == Idempotency::unsafe ||
+        now + 2 * site_.module.tick > t.anchoredAt + klass.dedupWindow)
         return false;
-    return klass.group == Group::all || (klass.group == Group::zone && to.entry.zone == t.zone) ||
-           (klass.group == Group::cell && to.entry.cell == t.cell);
+    return klass.dedupScope == DedupScope::all ||
+           (klass.dedupScope == DedupScope::zone && to.entry.zone == t.zone) ||
+           (klass.dedupScope == DedupScope::cell && to.entry.cell == t.cell);
 }
 
 void Core::send(Time now, const Send& order) {
@@ -240,7 +242,7 @@
     if (!t || order.worker >= farm_.size()) return;
     Server& to = farm_[order.worker];
     const bool allowed = wanted(*t) && legal(now, *t, to);
-    const Time until = order.stopAt.count() > 0 ? std::min(order.stopAt, t->deadline) : t->deadline;
+    const Time until = order.deadline.count() > 0 ? std::min(order.deadline, t->deadline) : t->deadline;
     const auto number = static_cast<std::uint32_t>(t->passes.size());
     if (allowed && !t->mayHaveRun && t->out == 0)
         t->zone = to.entry.zone, t->cell = to.entry.cell, t->anchoredAt = now;
@@ -252,7 +254,7 @@
     }
     ++counters_.passes;
     if (placement_.on()) t->wentOut = t->wentOut || placement_.outside(t->ticket, order.worker);
-    const Nanos age = to.entry.since.count() > 0 ? now - to.entry.since : Nanos(-1'000'000);
+    const Nanos age = to.entry.startedAt.count() > 0 ? now - to.entry.startedAt : Nanos(-1'000'000);
     trace_(now, "sent t=%llu pass=%u server=%s zone=%d kind=%d cell=%d age=%lld",
            static_cast<unsigned long long>(t->id), number, to.name.c_str(), to.entry.zone, to.entry.kind,
            to.entry.cell, static_cast<long long>(age / std::chrono::milliseconds(1)));
@@ -279,7 +281,7 @@
             ++counters_.cancels, endPass(now, *t, number, End::withdrawn, {}, {});
     } else if (const auto* refusal = std::get_if<Refuse>(&action)) {
         if (Transaction* const t = asked(refusal->id); t && !widened(now, *t))
-            refuse(now, *t, refusal->retryIn);
+            refuse(now, *t, refusal->retryAfter);
     } else if (const auto* failure = std::get_if<Fail>(&action)) {
         if (Transaction* const t = asked(failure->id)) fail(now, *t);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
@@ -303,14 +305,14 @@
     ++counters_.started;
     trace_(now, "started t=%llu pass=%u", static_cast<unsigned long long>(id), pass);
     if (placement_.on()) placement_.began(now, t.passes[pass].server, now - t.passes[pass].sent);
-    tell(now, AttemptNote{idOf(t), pass - t.since, true, 0});
+    tell(now, AttemptProgress{idOf(t), pass - t.since, true, 0});
 }
 
 void Core::passProgress(Time now, TransactionId id, std::uint32_t pass, double share) {
     if (!openPass(id, pass)) return;
     const Transaction& t = *find(id);
     if (t.client) t.client->progress(now, share);
-    tell(now, AttemptNote{idOf(t), pass - t.since, false, share});
+    tell(now, AttemptProgress{idOf(t), pass - t.since, false, share});
 }
 
 void Core::passPartial(Time now, TransactionId id, std::uint32_t pass, Partial kind, std::string_view bytes) {
@@ -358,9 +360,10 @@
     ++counters_.ends[static_cast<std::size_t>(how)];
     trace_(now, "ended t=%llu pass=%u server=%s how=%s ms=%lld queued=%.0f held=%.0f",
            static_cast<unsigned long long>(t.id), number, farm_[pass.server].name.c_str(), nameOf(how),
-           static_cast<long long>((now - pass.sent) / std::chrono::milliseconds(1)), load.queued, load.held);
+           static_cast<long long>((now - pass.sent) / std::chrono::milliseconds(1)), load.queued,
+           load.inFlight);
     if (!provesNeverRan(how)) t.mayHaveRun = true;
-    counters_.loadReports += load.held >= 0 || load.queued >= 0 || load.busy >= 0 || load.freeSlots >= 0;
+    counters_.loadReports += load.inFlight >= 0 || load.queued >= 0 || load.busy >= 0 || load.freeSlots >= 0;
     if (how == End::withdrawn || how == End::timedOut) pass.side->abandon(now, passOf(t, number));
     if (how == End::failed) t.lastFailure = std::move(result);
     if (how == End::served) {
@@ -398,7 +401,7 @@
     trace_(now, "farm mode=%d entries=%zu", static_cast<int>(mode), entries.size());
     RosterUpdate update;
     update.mode = mode;
-    if (mode != RosterMode::changes)
+    if (mode != RosterMode::incremental)
         for (Server& server : farm_)
             if (server.source == &source) server.listed = server.on = false;
     for (const FarmEntry& told : entries) {
@@ -411,33 +414,34 @@
         server.entry.id = settings::fingerprint(told.name);
         // Guards against calls of one wire at servers of another: who names no classes takes those of the
         // plain wire, by its kind.
-        if ((site_.wires > 1 || placement_.on()) && server.entry.classes == 0)
-            server.entry.classes = settings::classesOf(site_, 0, server.entry.kind);
+        if ((site_.wires > 1 || placement_.on()) && server.entry.classMask == 0)
+            server.entry.classMask = settings::classesOf(site_, 0, server.entry.kind);
         bool nothing = false;
         if (placement_.on()) {
             // Who is gone has no label any more: one that is missing there is no change.
             const auto& standing =
-                told.entry.standing == Standing::off
+                told.entry.status == WorkerStatus::off
                     ? placement_.standing(handle)
                     : placement_.listed(now, handle, told.name, told.placed ? told.entry.zone : -1,
-                                        told.entry.since);
-            server.entry.classes = placement_.widen(server.entry.classes, standing);
+                                        told.entry.startedAt);
+            server.entry.classMask = placement_.widen(server.entry.classMask, standing);
             server.entry.kind = placement_.kindOf(server.entry.kind, standing);
-            nothing = server.entry.classes == 0;  // which would mean: by its kind
-            if (nothing && server.entry.standing == Standing::on) server.entry.standing = Standing::draining;
+            nothing = server.entry.classMask == 0;  // which would mean: by its kind
+            if (nothing && server.entry.status == WorkerStatus::on)
+                server.entry.status = WorkerStatus::draining;
         }
-        server.listed = told.entry.standing != Standing::off;
-        server.on = told.entry.standing == Standing::on && !nothing;
+        server.listed = told.entry.status != WorkerStatus::off;
+        server.on = told.entry.status == WorkerStatus::on && !nothing;
         update.entries.push_back(server.entry);
     }
     if (placement_.on() && placement_.changed() && standingsChanged_) standingsChanged_(now);
     if (placement_.on()) {
         taken_ = 0;
         for (const Server& server : farm_)
-            if (server.on) taken_ |= server.entry.classes;
+            if (server.on) taken_ |= server.entry.classMask;
     }
     // The module takes a whole list as all there is: what other sources told goes in again.
-    if (mode != RosterMode::changes)
+    if (mode != RosterMode::incremental)
         for (const Server& server : farm_)
             if (server.source != &source && server.listed) update.entries.push_back(server.entry);
     tell(now, std::move(update));
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -60,8 +60,8 @@
     Worker handleOf(std::string_view name);  // dense, counted up as names are first heard
     bool accepts(Worker server) const { return server < farm_.size() && farm_[server].on; }
     bool openPass(TransactionId id, std::uint32_t pass) const;
-    std::size_t open() const { return open_; }                     // transactions still owed an answer
-    std::size_t avoided() const { return dispatcher_.avoided(); }  // of the listed: see the module
+    std::size_t open() const { return open_; }  // transactions still owed an answer
+    std::size_t avoided() const { return dispatcher_.avoidedWorkerCount(); }  // of the listed: see the module
     std::size_t listed() const;  // application servers in the list, those that drain too
     const Counters& counters() const { return counters_; }
     const placement::Placement& placement() const { return placement_; }
--- a/src/core/end.hpp
+++ b/src/core/end.hpp
@@ -64,9 +64,9 @@
         case End::unsent:
         case End::staleUnsent:
         case End::wentAway:
-            return Outcome::moot;
+            return Outcome::notExecuted;
         case End::staleSent:
-            return Outcome::stale;
+            return Outcome::staleConnection;
         case End::brokeSent:
         case End::lost:
         case End::peerClosed:
@@ -84,7 +84,7 @@
 inline bool provesNeverRan(End end) {
     const auto outcome = outcomeOf(end);
     return outcome == heronmount::Outcome::full || outcome == heronmount::Outcome::connectFailed ||
-           outcome == heronmount::Outcome::moot;
+           outcome == heronmount::Outcome::notExecuted;
 }
 
 }  // namespace amberswitch
--- a/src/core/hand_over.hpp
+++ b/src/core/hand_over.hpp
@@ -26,7 +26,7 @@
     static HandOver of(const settings::Site& site) {
         using namespace std::chrono_literals;
         heronmount::Nanos longest{0};
-        for (const auto& klass : site.module.classes) longest = std::max(longest, klass.giveUp);
+        for (const auto& klass : site.module.classes) longest = std::max(longest, klass.clientTimeout);
         const heronmount::Nanos kill = std::min<heronmount::Nanos>(longest, 3s) + 700ms;
         return {std::max<heronmount::Nanos>(700ms, kill - 900ms), kill - 150ms, kill - 60ms};
     }
--- a/src/gearman/config.cpp
+++ b/src/gearman/config.cpp
@@ -19,7 +19,8 @@
     // Guards against a front that is off stopping the program: what its file says of classes and tenants may
     // be meant for another site.
     if (config.listen.empty()) return config;
-    for (const auto& klass : site.module.classes) config.functions.push_back({klass.giveUp, klass.giveUp, 1});
+    for (const auto& klass : site.module.classes)
+        config.functions.push_back({klass.clientTimeout, klass.clientTimeout, 1});
     config.functions.resize(site.classes.size());
     if (const Node* const functions = from.find("functions"))
         for (const auto& [name, node] : functions->entries()) {
--- a/src/gearman/worker_requests.cpp
+++ b/src/gearman/worker_requests.cpp
@@ -9,7 +9,7 @@
 namespace amberswitch::gearman {
 
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 
 // What the worker offers has changed: the core is told. With no function left it drains: what it runs it may
 // finish, and what waited for it goes back unstarted.
@@ -29,11 +29,11 @@
     update.name = applicationServerName();
     update.entry.zone = front_.core_.site().module.zone, update.placed = false;
     update.entry.cell = 1'000'000 + static_cast<int>(*slot_);  // no other worker is known to drop its repeats
-    update.entry.units = static_cast<double>(front_.config_.workerSlots);
-    update.entry.since = startedAt_;
-    update.entry.standing = functions_.empty() ? Standing::draining : Standing::on;
-    for (const std::size_t klass : functions_) update.entry.classes |= std::uint64_t{1} << klass;
-    front_.core_.farm(now, front_, front_, RosterMode::changes, {update});
+    update.entry.weight = static_cast<double>(front_.config_.workerSlots);
+    update.entry.startedAt = startedAt_;
+    update.entry.status = functions_.empty() ? WorkerStatus::draining : WorkerStatus::on;
+    for (const std::size_t klass : functions_) update.entry.classMask |= std::uint64_t{1} << klass;
+    front_.core_.farm(now, front_, front_, RosterMode::incremental, {update});
     returnPasses(now, false);
 }
 
@@ -46,13 +46,13 @@
         const std::size_t slot = *slot_;
         FarmEntry update;
         update.name = applicationServerName();
-        update.entry.standing = Standing::off;
+        update.entry.status = WorkerStatus::off;
         update.entry.zone = front_.core_.site().module.zone, update.placed = false;
-        update.entry.since = startedAt_;
+        update.entry.startedAt = startedAt_;
         functions_.clear();
         front_.workers_.erase(applicationServer_);
         slot_.reset();
-        front_.core_.farm(now, front_, front_, RosterMode::changes, {update});
+        front_.core_.farm(now, front_, front_, RosterMode::incremental, {update});
         front_.freeSlots_.insert(slot);
     }
     std::vector<QueuedPass> returned;
--- a/src/grpc/call.cpp
+++ b/src/grpc/call.cpp
@@ -188,8 +188,9 @@
 
 bool Call::repeatHarms() const {
     const auto& klass = core_.site().module.classes[klass_];
-    return klass.effect != heronmount::Effect::safe &&
-           (klass.effect != heronmount::Effect::keyed || klass.group != heronmount::Group::all);
+    return klass.idempotency != heronmount::Idempotency::safe &&
+           (klass.idempotency != heronmount::Idempotency::keyed ||
+            klass.dedupScope != heronmount::DedupScope::all);
 }
 
 // This side ends the call: what the client has not taken is void, and its window must not hold up the status.
--- a/src/grpc/front.cpp
+++ b/src/grpc/front.cpp
@@ -112,7 +112,7 @@
     auto& request = arrival.request;
     // Calls are of this wire's classes: so no server of another one gets them.
     request.klass = static_cast<std::uint32_t>((site.wires - 1) * site.classes.size() + route->klass);
-    request.timeLeft = klass.giveUp;
+    request.timeLeft = klass.clientTimeout;
     if (const std::string* const text = field("grpc-timeout")) {
         const auto timeout = readTimeout(*text);
         if (!timeout) return bad(Status::invalidArgument, "grpc-timeout can't be read");
@@ -121,7 +121,7 @@
     }
     request.timeLeft = platform::withoutWay(request.timeLeft);
     const std::string* const key = field("idempotency-key");
-    if ((klass.effect == heronmount::Effect::keyed || route->keyDemanded) && (!key || key->empty()))
+    if ((klass.idempotency == heronmount::Idempotency::keyed || route->keyDemanded) && (!key || key->empty()))
         return bad(Status::invalidArgument, "idempotency-key is missing");
     if (!config_.tenantKey.empty())
         if (const std::string* const tenant = field(config_.tenantKey)) {
@@ -131,15 +131,15 @@
         }
     if (!config_.affinityKey.empty())
         if (const std::string* const about = field(config_.affinityKey))
-            request.hasKey = true, request.key = settings::fingerprint(*about) >> 11;
+            request.hasAffinityKey = true, request.affinityKey = settings::fingerprint(*about) >> 11;
     request.slots = route->slots;
     const std::string* const attempts = field("grpc-previous-rpc-attempts");
-    request.clientRepeat = attempts && *attempts != "0";
+    request.isClientRetry = attempts && *attempts != "0";
     if (counters_.calls.open > mostCalls_) {
         ++counters_.noRoom;
         const auto& allowed = site.module;
         return call.refuse(now, Status::unavailable, "too many calls are open, try again",
-                           allowed.retryAdvice ? std::optional<long>(100) : std::nullopt);
+                           allowed.mayAdviseRetry ? std::optional<long>(100) : std::nullopt);
     }
     arrival.job.className = site.classes[route->klass];
     arrival.job.target = *path;
--- a/src/grpc/servers.cpp
+++ b/src/grpc/servers.cpp
@@ -9,7 +9,7 @@
 namespace amberswitch::grpc {
 
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 
 LoadReport readLoad(const std::string* value) {
     if (!value) return {};
@@ -234,10 +234,10 @@
     out.name = server.entry.name, out.placed = server.entry.placed;
     auto& entry = out.entry;
     entry.zone = server.entry.zone, entry.kind = server.entry.kind, entry.cell = server.entry.cell;
-    entry.units = server.entry.weight;
-    entry.since = server.since;
-    entry.standing = server.entry.drain ? Standing::draining : Standing::on;
-    entry.classes = settings::classesOf(site, site.wires - 1, server.entry.kind);
+    entry.weight = server.entry.weight;
+    entry.startedAt = server.since;
+    entry.status = server.entry.drain ? WorkerStatus::draining : WorkerStatus::on;
+    entry.classMask = settings::classesOf(site, site.wires - 1, server.entry.kind);
     return out;
 }
 
@@ -263,9 +263,9 @@
             const auto old = server.connections;
             for (const auto& connection : old) connection->leave(now);
         }
-    core_.farm(now, *this, *this, RosterMode::whole, entries);
-    if (core_.site().module.progress.count() > 0 && !tick_.armed())
-        tick_.arm(deadlines_, now + core_.site().module.progress, [this](Time at) { tick(at); });
+    core_.farm(now, *this, *this, RosterMode::full, entries);
+    if (core_.site().module.progressInterval.count() > 0 && !tick_.armed())
+        tick_.arm(deadlines_, now + core_.site().module.progressInterval, [this](Time at) { tick(at); });
 }
 
 void Servers::closeAll(Time now) {
@@ -390,7 +390,7 @@
     // It was away and is back: it has started anew, for all that can be known here, and is cold.
     ++counters_.restarts;
     server->since = now;
-    core_.farm(now, *this, *this, RosterMode::changes, {told(*server)});
+    core_.farm(now, *this, *this, RosterMode::incremental, {told(*server)});
 }
 
 // As the published page on connection backoff says: 1.6 times longer with each failure, a fifth more or less.
@@ -413,7 +413,7 @@
     for (const auto& [key, pass] : passes_)
         if (config_.keepalive.count() == 0 || now - pass->heard() <= lively) alive.push_back(key);
     for (const auto& [transaction, number] : alive) core_.passProgress(now, transaction, number, 0);
-    tick_.arm(deadlines_, now + core_.site().module.progress, [this](Time at) { tick(at); });
+    tick_.arm(deadlines_, now + core_.site().module.progressInterval, [this](Time at) { tick(at); });
 }
 
 }  // namespace amberswitch::grpc
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -80,8 +80,8 @@
     if (own.log.trace)
         core.trace().open([](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); },
                           own.log.linesPerSecond);
-    core.trace()(loop.now(), "begin me=%u fleet=%u zone=%d known=%d", config.site.module.me,
-                 config.site.module.fleetSize, config.site.module.zone, config.known ? 1 : 0);
+    core.trace()(loop.now(), "begin me=%u fleet=%u zone=%d known=%d", config.site.module.schedulerIndex,
+                 config.site.module.schedulerCount, config.site.module.zone, config.known ? 1 : 0);
     platform::Servers servers(core, loop.deadlines(), wiring);
     platform::Watch watch(core, servers, loop.deadlines(), unbounded, config.discovery, own.start,
                           config.seed);
@@ -97,7 +97,7 @@
     constexpr std::size_t kOwn = 24;
     const bool controlled = !config.control.empty();
     control::Control control(
-        loop.deadlines(), service, [&] { return figures(core) + report(gate, loop.now()); },
+        loop.deadlines(), service, [&] { return routerCounters(core) + report(gate, loop.now()); },
         control::Control::placesOf(config.sockets));
     // Operators' callers have places of their own, one more for the one that comes, and the listener.
     const std::size_t kept = controlled ? control.places() + 2 : 0;
@@ -288,7 +288,7 @@
     listener.close();
     if (!own.consul.address.empty()) consul.end(loop.now());
     grpcFront.closeAll(loop.now()), grpcServers.closeAll(loop.now());
-    std::fputs((counters() + figures(core)).c_str(), stderr);
+    std::fputs((counters() + routerCounters(core)).c_str(), stderr);
     return 0;
 }
 
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -25,7 +25,8 @@
             regimeOf(entry.first);
             if (entry.rule != Rule::homeFirst) continue;
             regimeOf(entry.wide);
-            ledgers_.emplace(&entry, Ledger(entry.spill, site.module.fleetSize, site.module.me, start));
+            ledgers_.emplace(
+                &entry, Ledger(entry.spill, site.module.schedulerCount, site.module.schedulerIndex, start));
         }
     if (regimes_.size() * wireClasses_ > 64)
         throw settings::BadField("placement: " + std::to_string(regimes_.size()) + " sets of places for " +
--- a/src/platform/consul.cpp
+++ b/src/platform/consul.cpp
@@ -6,7 +6,7 @@
 
 using namespace settings;
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 
 namespace {
 
@@ -166,7 +166,7 @@
         told.name = member.name;
         auto& e = told.entry;
         e.zone = member.zone, e.kind = member.kind, e.cell = member.cell;
-        e.units = member.units, e.since = member.since, e.standing = member.standing;
+        e.weight = member.units, e.startedAt = member.since, e.status = member.standing;
         entries.push_back(std::move(told));
         servers_.learn(now, core_.handleOf(member.name), member.name, member.address);
     }
--- a/src/platform/consul.hpp
+++ b/src/platform/consul.hpp
@@ -38,7 +38,7 @@
     void forgotten(bool) override { index_ = 0, lost_ = true; }
     bool readInstance(const settings::object& from, consul::Instance& out) const;
     void tell(Time now, const consul::View::Changes& changes,
-              heronmount::RosterMode mode = heronmount::RosterMode::changes);
+              heronmount::RosterMode mode = heronmount::RosterMode::incremental);
 
     Servers& servers_;
     ConsulConfig config_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -41,7 +41,7 @@
 
     std::string advice(Nanos retryIn) const {
         char text[48] = "";
-        if (retryIn.count() > 0 && owner_.core_.site().module.retryAdvice)
+        if (retryIn.count() > 0 && owner_.core_.site().module.mayAdviseRetry)
             std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n",
                           static_cast<double>(retryIn.count()) * 1e-9);
         return text;
--- a/src/platform/names.cpp
+++ b/src/platform/names.cpp
@@ -6,7 +6,7 @@
 namespace amberswitch::platform {
 
 using namespace settings;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 
 namespace {
 
@@ -34,7 +34,7 @@
     else if (name == "queue" || name == "q")
         load.queued = value;
     else if (name == "inflight" || name == "rif")
-        load.held = value;
+        load.inFlight = value;
     else if (name == "util" || name == "busy")
         load.busy = value;
 }
@@ -63,13 +63,13 @@
     if (!plain(*trace)) return fault(400, "X-Trace-Id is no id");
     const auto& settings = site.module.classes[*klass];
     const std::string* const key = message.header("idempotency-key");
-    if (settings.effect == heronmount::Effect::keyed && (!key || !plain(*key)))
+    if (settings.idempotency == heronmount::Idempotency::keyed && (!key || !plain(*key)))
         return fault(400, "Idempotency-Key is missing or no key");
 
     Arrival arrival;
     auto& request = arrival.request;
     request.klass = static_cast<std::uint32_t>(*klass);
-    request.timeLeft = settings.giveUp;
+    request.timeLeft = settings.clientTimeout;
     if (const std::string* const left = message.header("x-expires-in-ms")) {
         const auto ms = http::wholeNumber(*left);
         if (!ms || *ms == 0 || *ms > kMostWaitMs) return fault(400, "X-Expires-In-Ms is no time to wait");
@@ -80,11 +80,11 @@
         if (const auto place = placeOf(site.tenants, *tenant)) request.tenant = static_cast<int>(*place);
     if (const std::string* const hint = message.header("x-size-hint"))
         if (const auto us = http::decimalNumber(*hint); us && *us > 0 && *us < 1e10)
-            request.hint = Nanos(static_cast<std::int64_t>(*us * 1e3));
+            request.durationHint = Nanos(static_cast<std::int64_t>(*us * 1e3));
     if (const std::string* const cookie = message.header("cookie"))
         for (const auto& [name, value] : http::pairs(*cookie, ';'))
-            if (name == "sid") request.hasKey = true, request.key = fingerprint(value) >> 11;
-    request.clientRepeat = message.header("x-second-try") != nullptr;
+            if (name == "sid") request.hasAffinityKey = true, request.affinityKey = fingerprint(value) >> 11;
+    request.isClientRetry = message.header("x-second-try") != nullptr;
     if (const std::string* const props = message.header("x-props"))
         for (const auto& [name, value] : http::pairs(*props, ',')) {
             const auto figure = http::decimalNumber(value);
@@ -113,14 +113,15 @@
         const auto place = [](const std::vector<std::string>& names, std::string_view name) {
             return static_cast<int>(placeOf(names, name).value_or(names.size()));
         };
-        e.standing = choice<Standing>(
-            text(entry, "status"), "status",
-            {{"Ready", Standing::on}, {"Terminating", Standing::draining}, {"Gone", Standing::off}});
+        e.status = choice<WorkerStatus>(text(entry, "status"), "status",
+                                        {{"Ready", WorkerStatus::on},
+                                         {"Terminating", WorkerStatus::draining},
+                                         {"Gone", WorkerStatus::off}});
         e.zone = place(site.zones, text(entry, "zone", ""));
         e.kind = place(site.kinds, text(entry, "type", ""));
         e.cell = static_cast<int>(integer(entry, "group", 0));
-        e.units = number(entry, "weight", 1);
-        e.since = Time(integer(entry, "since_ms", 0) * 1'000'000);  // the module's clock counts Unix time
+        e.weight = number(entry, "weight", 1);
+        e.startedAt = Time(integer(entry, "since_ms", 0) * 1'000'000);  // the module's clock counts Unix time
         out.entries.push_back(std::move(told));
         out.addresses.emplace_back(text(entry, "address", ""));
     }
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -15,7 +15,7 @@
 // a connection that died with it. Guards besides against an agent that answers each call at once making a
 // loop of it.
 LongPoll::Pace Watch::paceOf(const settings::Site& site) {
-    if (site.module.askRoster) return {20s, start::Turns::kSilence, 0s, 0s};
+    if (site.module.rosterOnRequest) return {20s, start::Turns::kSilence, 0s, 0s};
     const Nanos grace = site.drainGrace.count() > 0 ? std::min<Nanos>(site.drainGrace, 4s) : 2s;
     return {grace / 4, grace / 8, std::min<Nanos>(grace / 40, 50ms), std::min<Nanos>(grace / 20, 100ms)};
 }
@@ -28,10 +28,11 @@
     const heronmount::Settings& site = core.site().module;
     // What is new counts as told after askWithin, whether it was asked for or not: with a list in hand two
     // turns come in that time, without one all but one.
-    if (site.askRoster)
-        turns_.emplace(start::Turns::Terms{site.fleetSize, site.me, pace, site.askWithin / 2,
-                                           site.askWithin / 40 * 39, core.site().drainGrace},
-                       seed);
+    if (site.rosterOnRequest)
+        turns_.emplace(
+            start::Turns::Terms{site.schedulerCount, site.schedulerIndex, pace, site.rosterRequestWindow / 2,
+                                site.rosterRequestWindow / 40 * 39, core.site().drainGrace},
+            seed);
 }
 
 void Watch::begin(Time now, const std::optional<object>& list) {
@@ -97,7 +98,7 @@
     std::size_t at = 0;
     for (const element entry : settings::list(from, "endpoints")) {
         const FarmEntry& read = list.entries[at++];
-        if (read.entry.standing == heronmount::Standing::off)
+        if (read.entry.status == heronmount::WorkerStatus::off)
             told_.erase(read.name);
         else
             told_[read.name] = simdjson::minify(entry);
@@ -141,8 +142,8 @@
     if (list.version < 0) version_.reset();
     core_.farm(now, *this, servers_,
                stale        ? RosterMode::stale
-               : list.whole ? RosterMode::whole
-                            : RosterMode::changes,
+               : list.whole ? RosterMode::full
+                            : RosterMode::incremental,
                list.entries);
 }
 
--- a/src/report.cpp
+++ b/src/report.cpp
@@ -4,11 +4,13 @@
 
 namespace {
 
+// Collects lines of the form `NAME value`.
 struct Lines {
     std::string text;
     void add(const std::string& name, std::uint64_t value) {
         text += name + ' ' + std::to_string(value) + '\n';
     }
+    // How connections or attempts ended: a line for each way that occurred.
     void ends(const std::string& of, const std::uint64_t (&counts)[kEnds]) {
         for (std::size_t i = 0; i < kEnds; ++i)
             if (counts[i] > 0) add(of + '.' + nameOf(static_cast<End>(i)), counts[i]);
@@ -17,7 +19,7 @@
 
 }  // namespace
 
-std::string figures(const Core& core) {
+std::string routerCounters(const Core& core) {
     std::string out;
     const auto add = [&out](const std::string& name, std::uint64_t value) {
         out += "router." + name + '=' + std::to_string(value) + '\n';
@@ -36,9 +38,9 @@
     return out;
 }
 
-std::string report(const store::Keeper& keptList) {
+std::string report(const store::Keeper& storedList) {
     Lines out;
-    const auto& k = keptList.counters();
+    const auto& k = storedList.counters();
     out.add("kept_list.saved", k.saved), out.add("kept_list.failed", k.failed);
     out.add("kept_list.loaded", k.loaded), out.add("kept_list.refused", k.refused);
     return out.text;
--- a/src/report.hpp
+++ b/src/report.hpp
@@ -1,4 +1,4 @@
-// The counters of every part, as text: one name and value a line.
+// The counters of all parts as plain text, one name and value on a line.
 #pragma once
 
 #include <string>
@@ -16,19 +16,21 @@
 
 namespace amberswitch {
 
-// What the operators' address tells: `router.NAME=value`, one a line.
-std::string figures(const Core& core);
+// The counters for the operators' address, as lines of the form `router.NAME=value`.
+std::string routerCounters(const Core& core);
 
+// The counters of the parts that always run, as lines of the form `NAME value`.
 std::string report(const Core& core, const platform::Servers& servers, const platform::Watch& watch,
                    const platform::Front& front, const gearman::Front& gearman, const config::Reload& reload);
 
-// What the start waits for and since when, on the operators' address; nothing once it is over.
+// For the operators' address: what the start waits for, and since how many milliseconds. Empty once the start
+// is complete.
 std::string report(const start::Gate& gate, Time now);
-std::string report(const store::Keeper& keptList);          // where the list is kept
-std::string report(const placement::Placement& placement);  // where there is a policy
-std::string report(const control::Control& control);        // where operators have an address
+std::string report(const store::Keeper& storedList);        // if the server list is stored
+std::string report(const placement::Placement& placement);  // if there is a placement policy
+std::string report(const control::Control& control);        // if the operators' address is on
 std::string report(const takeover::Takeover& takeover);
-std::string report(const platform::Consul& consul);                          // where Consul is on
-std::string report(const grpc::Front& front, const grpc::Servers& servers);  // where gRPC is on
+std::string report(const platform::Consul& consul);                          // if Consul is on
+std::string report(const grpc::Front& front, const grpc::Servers& servers);  // if gRPC is on
 
 }  // namespace amberswitch
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,5 +1,5 @@
-// All decisions of one scheduler. Interface: include/heronmount/dispatcher.hpp; what it remembers: state.hpp.
-// Sections: roster; learning; pick; attempts and final answers; health; cold budget; admission and fairness.
+// All decisions of one scheduler. Interface: include/heronmount/dispatcher.hpp; data: state.hpp. Sections:
+// roster; learning; pick; attempts and final answers; health; cold budget; admission and fairness.
 #include <algorithm>
 #include <unordered_map>
 #include <utility>
@@ -9,276 +9,275 @@
 namespace heronmount {
 namespace {
 
-constexpr double kWindowJobs = 20;      // completions over which a job time is smoothed
-constexpr double kEjectedShare = 0.5;   // beyond this the load is to blame, not the workers
-constexpr std::size_t kMostHomes = 24;  // workers kept in order for a key
-constexpr double kKeyHomes = 2;         // a key's least number of homes
-constexpr double kKeyFill = 0.3;        // part of a home's work that one key may make up
-constexpr double kLevels = 2;           // levels of load for each slot held
-constexpr double kSpared = 1;           // slots' worth of sparing a kind that some class depends on
-constexpr double kCrossing = 40;        // slots' worth of the price of crossing zones
-constexpr double kSlowBorne = 1.5;      // slowness against its kind that a worker's level does not show
-constexpr double kStrain = 0.2;         // waiting that is borne, in parts of the slack
-constexpr double kMostShed = 0.95;      // the largest share that is refused
-constexpr double kShedding = 3;         // share of work refused for each part above it
-constexpr double kFeel = 0.5;           // seconds over which it is smoothed,
-constexpr double kFeelMost = 2.5;       // and at most, where own jobs are few and one says little
-constexpr double kFilled = 0.75;        // part of a core for each own job that came or went since the list
-constexpr double kPatience = 0.125;     // part of the goal after which an unstarted job is copied
-constexpr double kSilence = 0.3;        // seconds without any sign before a waiting job's worker is suspect
-constexpr double kColdCaution = 0.5;    // part of the cold budget that is used
-constexpr int kZoneMisses = 4;          // misses without a sign between that make a whole zone suspect
+constexpr double kSmoothingJobs = 20;         // completions over which a job time is smoothed
+constexpr double kMaxEjectedShare = 0.5;      // beyond this the load is to blame, not the workers
+constexpr std::size_t kMaxHomes = 24;         // homes kept in order for an affinity key
+constexpr double kMinHomes = 2;               // least number of homes of a key
+constexpr double kKeyShareOfHome = 0.3;       // largest share of a home's work that one key may make up
+constexpr double kLevelsPerSlot = 2;          // load levels for each slot held
+constexpr double kScarceKindSlots = 1;        // slots added at kinds that a class needs, for other work
+constexpr double kCrossZoneSlots = 40;        // slots added for crossing zones, for each unit of its cost
+constexpr double kToleratedSlowness = 1.5;    // slowness against its kind that leaves the level as it is
+constexpr double kToleratedWait = 0.2;        // mean wait as a share of the slack that is tolerated
+constexpr double kMaxShedShare = 0.95;        // largest share of work that is refused
+constexpr double kShedFactor = 3;             // share of work refused for each unit of wait above that
+constexpr double kWaitSmoothing = 0.5;        // seconds over which the mean wait is smoothed,
+constexpr double kSparseWaitSmoothing = 2.5;  // and with few own jobs, where one sample says little
+constexpr double kOwnJobLoad = 0.75;          // jobs per core for each own job sent or ended since the list
+constexpr double kCopyDelay = 0.125;          // share of the target latency until an unstarted job is copied
+constexpr double kMinSilence = 0.3;  // seconds without a report until a waiting job's worker is suspect
+constexpr double kBudgetUse = 0.5;   // share of the cold budget that is used
+constexpr int kZoneFailures = 4;     // failures without a report between that make a zone suspect
 constexpr double kFirstEjection = 1, kLongestEjection = 8;  // seconds
-constexpr int kAnyRank = 100000, kTagBits = 52;
-constexpr Nanos kAdvice = std::chrono::milliseconds(100);
-enum Tag : std::uint64_t { kDeadline, kCheck, kRetry, kSubscribe };
+constexpr int kMaxRank = 100000, kIdBits = 52;  // a timer's tag: its kind above kIdBits, the request id below
+constexpr Nanos kAdvisedRetry = std::chrono::milliseconds(100);
+enum TimerKind : std::uint64_t { kDeadline, kCheck, kRetry, kSubscribe };
 
 }  // namespace
 
 class Dispatcher::Rules {
 public:
-    Rules(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_{seed} {
-        validate(s_);
-        live_ = s_.weights == Weights::live;
-        for (const auto& c : s_.classes) {
-            anySafe_ = anySafe_ || c.effect == Effect::safe;
-            if (c.kind >= 0) scarce_.push_back(c.kind);
+    Rules(Settings settings, std::uint64_t seed) : cfg_(std::move(settings)), random_{seed} {
+        validate(cfg_);
+        live_ = cfg_.weights == Weights::live;
+        for (const auto& c : cfg_.classes) {
+            hasSafeClass_ = hasSafeClass_ || c.idempotency == Idempotency::safe;
+            if (c.kind >= 0) neededKinds_.push_back(c.kind);
         }
-        ran_.resize(s_.classes.size()), hinted_.resize(s_.classes.size()), strains_.resize(s_.classes.size());
-        tenants_.resize(s_.tenants.size());
-        kinds_.resize(static_cast<std::size_t>(std::max(1, s_.kinds)));
+        runs_.resize(cfg_.classes.size()), hints_.resize(cfg_.classes.size()),
+            waits_.resize(cfg_.classes.size());
+        tenantRates_.resize(cfg_.tenants.size());
+        byKind_.resize(static_cast<std::size_t>(std::max(1, cfg_.kinds)));
     }
 
     void on(Time now, const Event& event, std::vector<Action>& actions) {
         now_ = std::max(now, now_);
-        out_ = &actions;
-        if (!begun_) begin();
-        std::visit([this](const auto& e) { take(e); }, event);
-        out_ = nullptr;
+        actions_ = &actions;
+        if (!started_) start();
+        std::visit([this](const auto& e) { handle(e); }, event);
+        actions_ = nullptr;
     }
 
-    std::size_t avoided() {
-        const auto away = [this](Worker h) { return leftOut(workers_[h]) || zoneAway(workers_[h]); };
+    std::size_t avoidedWorkerCount() {
+        const auto away = [this](Worker h) { return isExcluded(workers_[h]) || isZoneDown(workers_[h]); };
         return static_cast<std::size_t>(std::count_if(active_.begin(), active_.end(), away));
     }
 
 private:
     // --- roster ---
-    void begin() {
-        begun_ = true, start_ = now_;
-        // The roster's source is small: schedulers that start together must not ask together.
-        if (s_.askRoster) timer(kSubscribe, 0, random_.next() * std::min(5.0, seconds(s_.askWithin) / 3));
+    void start() {
+        started_ = true, startTime_ = now_;
+        // Schedulers that start together must not ask together: the roster's source has little capacity.
+        if (cfg_.rosterOnRequest)
+            arm(kSubscribe, 0, random_.next() * std::min(5.0, seconds(cfg_.rosterRequestWindow) / 3));
     }
 
-    void take(const RosterUpdate& update) {
+    void handle(const RosterUpdate& update) {
         if (update.mode == RosterMode::lost) {
-            backoff_ = std::min(std::max(1.0, backoff_ * 2), std::max(1.0, seconds(s_.askWithin) / 2));
-            timer(kSubscribe, 0, backoff_ * (0.5 + random_.next()));
+            backoff_ =
+                std::min(std::max(1.0, backoff_ * 2), std::max(1.0, seconds(cfg_.rosterRequestWindow) / 2));
+            arm(kSubscribe, 0, backoff_ * (0.5 + random_.next()));
             return;
         }
         if (update.mode != RosterMode::stale) backoff_ = 0;
-        if (update.mode != RosterMode::changes)
+        if (update.mode != RosterMode::incremental)
             for (const Worker w : active_) workers_[w].listed = false;
         for (const RosterEntry& entry : update.entries) {
             if (entry.worker >= workers_.size())
-                workers_.resize(entry.worker + 1), hot_.resize(entry.worker + 1);
+                workers_.resize(entry.worker + 1), pickData_.resize(entry.worker + 1);
             WorkerState& w = workers_[entry.worker];
-            kinds_.resize(std::max(kinds_.size(), static_cast<std::size_t>(std::max(0, entry.kind)) + 1));
-            const bool restarted = entry.since > w.entry.since;
+            byKind_.resize(std::max(byKind_.size(), static_cast<std::size_t>(std::max(0, entry.kind)) + 1));
+            const bool restarted = entry.startedAt > w.entry.startedAt;
             w.entry = entry, w.entry.kind = std::max(0, entry.kind), w.entry.zone = std::max(0, entry.zone);
             zones_.resize(std::max(zones_.size(), static_cast<std::size_t>(w.entry.zone) + 1));
-            w.listed = entry.standing == Standing::on;
-            if (restarted) {  // cold again under its old id: what was learned of it is void
-                w.slow = {};
-                recover(w);
-                hot_[entry.worker].turn = kUnplaced;
+            w.listed = entry.status == WorkerStatus::on;
+            if (restarted) {  // cold again under the same id: reset what was learned
+                w.relativeTime = {};
+                clearFailures(w);
+                pickData_[entry.worker].lastPick = kComesFirst;
             }
-            pools_.resize(kinds_.size());
-            if (live_) {  // its size, by 1 and the jobs held for each core
-                double& size = poolOf(w).size;
-                size = std::max({size, entry.units, 1e-3});
-                w.told = size / std::max(1e-3, entry.units) - 1, w.since = 0;
+            pools_.resize(byKind_.size());
+            if (live_) {  // weight = size / (1 + jobs held for each core)
+                double& size = poolOf(w).largest;
+                size = std::max({size, entry.weight, 1e-3});
+                w.reportedLoad = size / std::max(1e-3, entry.weight) - 1, w.sentSince = 0;
             }
         }
-        const std::vector<Cold> before = std::exchange(cold_, {});
+        const std::vector<ColdWorker> before = std::exchange(cold_, {});
         active_.clear();
         for (Worker h = 0; h < workers_.size(); ++h)
             if (workers_[h].listed) active_.push_back(h);
-        if (live_ || yard_ == 0) {  // else weights are held against the first list's mean
-            yard_ = 0;
-            for (const Worker h : active_) yard_ += sizeAt(workers_[h]) / count(active_);
+        if (live_ || meanWeight_ == 0) {  // else relative to the mean of the first list
+            meanWeight_ = 0;
+            for (const Worker h : active_) meanWeight_ += weight(workers_[h]) / count(active_);
         }
-        for (Pool& pool : pools_) pool.units = 0, pool.strains.resize(zones_.size());
-        ejected_ = 0, capacity_ = 1e-9;
+        for (KindPool& pool : pools_) pool.totalWeight = 0, pool.waits.resize(zones_.size());
+        softCount_ = 0, capacity_ = 1e-9;
         for (Worker h = 0; h < workers_.size(); ++h) {
-            const int was = std::exchange(hot_[h].cold, -1);
+            const int was = std::exchange(pickData_[h].coldIndex, -1);
             if (!workers_[h].listed) continue;
-            price(h);
-            ejected_ += workers_[h].soft, capacity_ += capacity(workers_[h]);
-            poolOf(workers_[h]).units += units(workers_[h]);
+            updateCost(h);
+            softCount_ += workers_[h].soft, capacity_ += capacity(workers_[h]);
+            poolOf(workers_[h]).totalWeight += relativeWeight(workers_[h]);
             if (ramp(workers_[h]) >= 1) continue;
-            hot_[h].cold = static_cast<int>(cold_.size());
-            cold_.push_back(was >= 0 ? before[static_cast<std::size_t>(was)] : Cold{});
+            pickData_[h].coldIndex = static_cast<int>(cold_.size());
+            cold_.push_back(was >= 0 ? before[static_cast<std::size_t>(was)] : ColdWorker{});
             cold_.back().worker = h;
         }
-        ++roster_, warm(), place();
+        ++rosterNumber_, updateBudgets(), placeNew();
     }
 
-    // A newcomer at infinite age would draw the next job of every scheduler at once: it enters at a seeded
-    // age inside its own rotation interval, as if it had always been there.
-    void place() {
+    void placeNew() {
         double sum = 0;
-        for (const Worker h : active_) sum -= hot_[h].slope;
+        for (const Worker h : active_) sum -= pickData_[h].costPerAge;
         for (const Worker h : active_)
-            if (hot_[h].turn == kUnplaced) hot_[h].turn = sends_ + random_.next() * sum / hot_[h].slope;
+            if (pickData_[h].lastPick == kComesFirst)
+                pickData_[h].lastPick = sends_ + random_.next() * sum / pickData_[h].costPerAge;
     }
 
     // --- learning ---
-    double perSecond(const Flow& flow) const {  // a flow's rate, with its first seconds made up for
-        return flow.at(now_) / (1 - std::exp(-std::max(seconds(now_ - start_), 1.0) / kWindow));
+    double perSecond(const SmoothedRate& flow) const {  // corrected for the first seconds
+        return flow.at(now_) / (1 - std::exp(-std::max(seconds(now_ - startTime_), 1.0) / kRateWindow));
     }
 
-    // The job time to expect at an average worker: by its class, scaled by its hint where it has one.
-    double expectedOf(const RequestArrived& r) const {
-        const Mean& ran = ran_[r.klass];
-        if (r.hint.count() == 0)
-            return std::max(1e-3, ran.count > 0 ? ran.value : seconds(s_.classes[r.klass].goal));
-        // Of sums, as if jobs like this one had run as hinted: one hint far too small counts for itself
-        // alone.
-        const double hint = seconds(r.hint), prior = kKindJobs * hint, n = ran.count;
-        return std::max(1e-4, hint * (ran.value * n + prior) / (hinted_[r.klass].value * n + prior));
+    // Expected job time at an average worker, in seconds: that of its class, scaled by its hint, if any.
+    double expectedTime(const RequestArrived& r) const {
+        const Mean& ran = runs_[r.klass];
+        if (r.durationHint.count() == 0)
+            return std::max(1e-3, ran.count > 0 ? ran.value : seconds(cfg_.classes[r.klass].targetLatency));
+        // Ratio of sums, with a prior that trusts the hint: one far too small hint affects only its own job.
+        const double hint = seconds(r.durationHint), prior = kPriorJobs * hint, n = ran.count;
+        return std::max(1e-4, hint * (ran.value * n + prior) / (hints_[r.klass].value * n + prior));
     }
 
-    static double slotsOf(const Request& r) { return std::max({1.0, r.in.slots, r.in.memory}); }
-    static double less(double took, double wait) { return std::max(took - wait, 0.2 * took); }
+    static double slotsOf(const Request& r) { return std::max({1.0, r.arrival.slots, r.arrival.memory}); }
+    static double ownTime(double took, double wait) { return std::max(took - wait, 0.2 * took); }
 
-    double sizeOf(const Request& r) const { return r.work / std::max(1e-6, meanJob_.value); }
+    double relativeSize(const Request& r) const { return r.work / std::max(1e-6, meanWork_.value); }
 
-    Pool& poolOf(const WorkerState& w) { return pools_[static_cast<std::size_t>(w.entry.kind)]; }
+    KindPool& poolOf(const WorkerState& w) { return pools_[static_cast<std::size_t>(w.entry.kind)]; }
 
-    Strain& strainOf(const WorkerState& w) {
-        return poolOf(w).strains[static_cast<std::size_t>(w.entry.zone)];
+    WaitState& waitOf(const WorkerState& w) {
+        return poolOf(w).waits[static_cast<std::size_t>(w.entry.zone)];
     }
 
-    Mean& kindOf(const WorkerState& w) { return kinds_[static_cast<std::size_t>(w.entry.kind)]; }
+    Mean& kindTime(const WorkerState& w) { return byKind_[static_cast<std::size_t>(w.entry.kind)]; }
 
-    // Slowness of a worker against an average one: its own job times, leaning on those of its kind at first.
-    double slowness(WorkerState& w) { return w.slow.leaning(kindOf(w).leaning(1)); }
+    // Job times of a worker relative to an average one: its own, blended with those of its kind at first.
+    double slowness(WorkerState& w) { return w.relativeTime.blendedWith(kindTime(w).blendedWith(1)); }
 
-    void learn(Worker h, double ratio) {
+    void recordTime(Worker h, double ratio) {
         WorkerState& w = workers_[h];
-        ratio = std::min(ratio, std::max(1.0, ratio * ramp(w)));  // being cold goes by: no lasting slowness
+        ratio = std::min(ratio, std::max(1.0, ratio * ramp(w)));  // warming up is not lasting slowness
         ratio = std::clamp(ratio, 0.05, 20.0);
-        w.slow.add(ratio, kWindowJobs), kindOf(w).add(ratio, kWindowJobs * 5);
-        price(h);
+        w.relativeTime.add(ratio, kSmoothingJobs), kindTime(w).add(ratio, kSmoothingJobs * 5);
+        updateCost(h);
     }
 
-    double sizeAt(const WorkerState& w) { return live_ ? poolOf(w).size : std::max(0.0, w.entry.units); }
+    double weight(const WorkerState& w) { return live_ ? poolOf(w).largest : std::max(0.0, w.entry.weight); }
 
-    // What a worker can do against others. Nominal weights count speed in, and so do live ones but for what
-    // workers hold: job times tell only how one differs from its kind. Rough ones are sizes alone.
-    double units(const WorkerState& w) {
-        return sizeAt(w) > 0 && yard_ > 0 ? std::max(0.05, sizeAt(w) / yard_) : 1;
+    // Nominal and live weights include a kind's speed: job times then only tell how a worker differs from it.
+    double relativeWeight(const WorkerState& w) {
+        return weight(w) > 0 && meanWeight_ > 0 ? std::max(0.05, weight(w) / meanWeight_) : 1;
     }
 
     double capacity(WorkerState& w) {
-        const bool nominal = live_ || s_.weights == Weights::nominal;
-        return (s_.weights == Weights::none ? 1 : units(w)) / slowness(w) *
-               (nominal ? kindOf(w).leaning(1) : 1);
+        const bool nominal = live_ || cfg_.weights == Weights::nominal;
+        return (cfg_.weights == Weights::none ? 1 : relativeWeight(w)) / slowness(w) *
+               (nominal ? kindTime(w).blendedWith(1) : 1);
     }
 
-    void price(Worker h) {
+    void updateCost(Worker h) {
         WorkerState& w = workers_[h];
-        w.pace = std::clamp(kSlowBorne * kindOf(w).leaning(1) / slowness(w), 0.2, 1.0);
-        const double mu = ramp(w) * capacity(w) / (meanJob_.count > 0 ? meanJob_.value : 1);
-        w.lnq = -std::log1p(mu / (lambda_ * s_.fleetSize));
-        hot_[h].slope = w.lnq / w.lastSize;
+        w.speedFactor = std::clamp(kToleratedSlowness * kindTime(w).blendedWith(1) / slowness(w), 0.2, 1.0);
+        const double mu = ramp(w) * capacity(w) / (meanWork_.count > 0 ? meanWork_.value : 1);
+        w.logBusy = -std::log1p(mu / (rate_ * cfg_.schedulerCount));
+        pickData_[h].costPerAge = w.logBusy / w.lastJobSize;
     }
 
-    // Prices hang on the rate's ratio to mu alone: a full pass waits until the rate has moved.
-    void refresh() {
+    // Costs depend only on the ratio of the arrival rate to mu: all are updated once the rate has moved.
+    void refreshCosts() {
         refreshedAt_ = now_;
-        warm();
-        const double rate = std::max(perSecond(arrivals_), 1 / kWindow);  // never below one job per window
-        if (rate < 1.25 * lambda_ && rate > 0.8 * lambda_) return;
-        lambda_ = rate;
-        for (const Worker w : active_) price(w);
+        updateBudgets();
+        const double rate = std::max(perSecond(arrivals_), 1 / kRateWindow);  // at least one job per window
+        if (rate < 1.25 * rate_ && rate > 0.8 * rate_) return;
+        rate_ = rate;
+        for (const Worker w : active_) updateCost(w);
     }
 
     // --- pick ---
-    // The design's rule: the lowest q^age, compared as age * ln q; equal costs go to the larger age, then the
-    // lower handle. Size enters q: after a big job a worker is busy longer. Departure: own jobs known to wait
-    // or run at a worker tell that it is busy; those with fewer come first.
-    static constexpr Worker kNone = std::numeric_limits<Worker>::max();
+    // Picks the lowest q^age, compared as age * ln q; equal costs go to the larger age, then to the lower
+    // handle. The size enters q: a big job keeps a worker busy longer. Beyond the published rule, workers
+    // with fewer own jobs known to wait or run come first: those jobs show that a worker is busy.
+    static constexpr Worker kNoWorker = std::numeric_limits<Worker>::max();
     static double count(const std::vector<Worker>& of) { return std::max<double>(1, of.size()); }
 
     Worker pick(const Request& r, int rankBelow) {
-        if (now_ - refreshedAt_ > std::chrono::milliseconds(250)) refresh();
-        if (!r.in.hasKey) return cheapest(r, active_, active_.size(), rankBelow);
-        KeyState& key = homesOf(r);
+        if (now_ - refreshedAt_ > std::chrono::milliseconds(250)) refreshCosts();
+        if (!r.arrival.hasAffinityKey) return cheapest(r, active_, active_.size(), rankBelow);
+        KeyHomes& key = homesOf(r);
         const double share = key.demand.at(now_) / std::max(1e-9, demand_.at(now_));
-        const auto homes = static_cast<std::size_t>(kKeyHomes + share * count(active_) / kKeyFill);
+        const auto homes = static_cast<std::size_t>(kMinHomes + share * count(active_) / kKeyShareOfHome);
         const Worker home = cheapest(r, key.homes, std::min(homes, key.homes.size()), 1);
-        return home != kNone ? home : cheapest(r, active_, active_.size(), rankBelow);
+        return home != kNoWorker ? home : cheapest(r, active_, active_.size(), rankBelow);
     }
 
-    // Departure: a job with a key goes first to the key's homes, the same at every scheduler by rendezvous,
-    // more for a key in demand. Guards against every worker fetching every key, which jams their store.
-    KeyState& homesOf(const Request& r) {
-        KeyState& key = keys_[r.in.key];
-        if (key.roster == roster_) return key;
-        key.roster = roster_;
+    // The homes of the request's key, by rendezvous hashing. See KeyHomes for why they are preferred.
+    KeyHomes& homesOf(const Request& r) {
+        KeyHomes& key = keys_[r.arrival.affinityKey];
+        if (key.rosterNumber == rosterNumber_) return key;
+        key.rosterNumber = rosterNumber_;
         std::vector<std::pair<double, Worker>> order;
         for (const Worker h : active_) {
-            Random pair{r.in.key * 0x9E3779B97F4A7C15ULL ^ workers_[h].entry.id};
+            Random pair{r.arrival.affinityKey * 0x9E3779B97F4A7C15ULL ^ workers_[h].entry.id};
             pair.next();
-            order.emplace_back(-std::log(std::max(pair.next(), 1e-18)) / units(workers_[h]), h);
+            order.emplace_back(-std::log(std::max(pair.next(), 1e-18)) / relativeWeight(workers_[h]), h);
         }
-        const std::size_t most = std::min(kMostHomes, order.size());
+        const std::size_t most = std::min(kMaxHomes, order.size());
         std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(most), order.end());
         key.homes.clear();
         for (std::size_t i = 0; i < most; ++i) key.homes.push_back(order[i].second);
         return key;
     }
 
-    // Departure: the paper knows one job a worker, these hold several. Ready workers are compared by age at
-    // the same level of own slots held there only. Guards against jobs that wait behind big ones, against
-    // work that only one kind can do finding that kind taken, and against needless crossings. Others do
-    // alike: on the mean over a kind they hold what this one does, times their number. Guards against many,
-    // each of which holds next to nothing, sparing one kind until the other drowns. Where own jobs wait in a
-    // zone's kind, its workers count as fuller. Levels are rounded by chance: those close share the work.
-    int levelOf(const Request& r, const WorkerState& w, double chance) {
-        double held = w.held;
-        if (r.klass->kind < 0 && std::count(scarce_.begin(), scarce_.end(), w.entry.kind) > 0)
-            held += kSpared;
-        if (w.entry.zone != s_.zone) held += kCrossing * s_.crossZonePrice * w.entry.crossing;
-        held += strainOf(w).mean / kStrain;
-        const double others = (s_.fleetSize - 1) * perSecond(poolOf(w).work) / poolOf(w).units;
-        return static_cast<int>(kLevels * (held / (units(w) * w.pace) + others) + chance);
+    // Workers hold several jobs, not one as in the published rule: ages are compared only at the same level
+    // of own slots held. Keeps jobs from waiting behind big ones, keeps kinds free for work that needs them,
+    // and avoids needless zone crossings. Other schedulers count as described at Pool. Where own jobs wait in
+    // a kind's zone, its workers count as fuller. Random rounding shares work between close levels.
+    int loadLevel(const Request& r, const WorkerState& w, double chance) {
+        double held = w.heldSlots;
+        if (r.klass->kind < 0 && std::count(neededKinds_.begin(), neededKinds_.end(), w.entry.kind) > 0)
+            held += kScarceKindSlots;
+        if (w.entry.zone != cfg_.zone) held += kCrossZoneSlots * cfg_.crossZoneCost * w.entry.zoneCostFactor;
+        held += waitOf(w).mean / kToleratedWait;
+        const double others = (cfg_.schedulerCount - 1) * perSecond(poolOf(w).work) / poolOf(w).totalWeight;
+        return static_cast<int>(kLevelsPerSlot * (held / (relativeWeight(w) * w.speedFactor) + others) +
+                                chance);
     }
 
     Worker cheapest(const Request& r, const std::vector<Worker>& among, std::size_t first, int rankBelow) {
-        const double chance = s_.fleetSize > 1 ? random_.next() : 0;
-        const double borne = bears(r);
-        Worker best = kNone;
+        const double chance = cfg_.schedulerCount > 1 ? random_.next() : 0;
+        const double borne = toleratedWait(r);
+        Worker best = kNoWorker;
         int bestRank = std::numeric_limits<int>::max(), bestLevel = bestRank;
         double bestCost = 0, bestAge = 0;
         for (std::size_t i = 0; i < first; ++i) {
             const Worker h = among[i];
-            const double age = sends_ + 1 - hot_[h].turn;
-            double cost = age * hot_[h].slope;
-            if (hot_[h].cold >= 0 && !coldAllows(r, cold_[static_cast<std::size_t>(hot_[h].cold)], cost))
+            const double age = sends_ + 1 - pickData_[h].lastPick;
+            double cost = age * pickData_[h].costPerAge;
+            if (pickData_[h].coldIndex >= 0 &&
+                !fitsColdBudget(r, cold_[static_cast<std::size_t>(pickData_[h].coldIndex)], cost))
                 continue;
-            if (best != kNone && bestRank == 0 && bestLevel <= 0 && cost > bestCost) continue;
+            if (best != kNoWorker && bestRank == 0 && bestLevel <= 0 && cost > bestCost) continue;
             const WorkerState& w = workers_[h];
             if (!maySend(r, w) || waitAt(h) > borne) continue;
-            int rank = w.waiting;
-            if (leftOut(w) && !trialReady(r, w)) rank += 1000;
-            if (zoneAway(w)) rank += 500;
+            int rank = w.unstarted;
+            if (isExcluded(w) && !isTrialDue(r, w)) rank += 1000;
+            if (isZoneDown(w)) rank += 500;
             for (std::uint32_t a = 0; a < r.sends; ++a)
-                if (r.attempts[a].worker == h) rank += r.attempts[a].open ? kAnyRank : 100;
+                if (r.attempts[a].worker == h) rank += r.attempts[a].open ? kMaxRank : 100;
             if (rank >= rankBelow || rank > bestRank) continue;
-            const int level = cost == kUnplaced ? -1 : levelOf(r, w, chance);
+            const int level = cost == kComesFirst ? -1 : loadLevel(r, w, chance);
             if (rank == bestRank && level > bestLevel) continue;
             if (rank < bestRank || level < bestLevel || cost < bestCost ||
                 (cost == bestCost && age > bestAge))
@@ -287,143 +286,147 @@
         return best;
     }
 
-    // Where the list tells what workers hold: the seconds that a job sent there now would wait. Guards
-    // against queues that stand: what is let in can then only be late.
+    // With live weights, the seconds that a job sent there would wait: a standing queue only makes jobs late.
     double waitAt(Worker h) {
         WorkerState& w = workers_[h];
-        return std::max(0.0, w.told + kFilled * w.since - 1) * meanJob_.value * slowness(w);
+        return std::max(0.0, w.reportedLoad + kOwnJobLoad * w.sentSince - 1) * meanWork_.value * slowness(w);
     }
 
-    // A class ahead of others waits as long as it can bear, all others no longer than the tightest could.
-    double bears(const Request& r) const {
+    // A prioritized request may wait for its own slack, all others for the least slack of any class.
+    double toleratedWait(const Request& r) const {
         double most = slack(r, *r.klass);
-        if (!r.ahead)
-            for (const ClassSettings& c : s_.classes) most = std::min(most, slack(r, c));
+        if (!r.prioritized)
+            for (const ClassSettings& c : cfg_.classes) most = std::min(most, slack(r, c));
         return most;
     }
 
     // --- attempts and final answers ---
-    // Whether some effect may have happened, or may still.
-    bool tainted(const Request& r) const { return r.mayHaveRun || r.out > 0; }
+    // Whether an attempt may have run, or may still run.
+    bool mayHaveEffect(const Request& r) const { return r.mayHaveRun || r.inFlight > 0; }
 
-    bool stuck(const Request& r) const {  // no further send is legal any more
-        return tainted(r) && r.klass->effect != Effect::safe &&
-               (r.klass->effect == Effect::unsafe || now_ + 2 * s_.tick > r.anchoredAt + r.klass->window);
+    bool isSealed(const Request& r) const {  // no further send is allowed
+        return mayHaveEffect(r) && r.klass->idempotency != Idempotency::safe &&
+               (r.klass->idempotency == Idempotency::unsafe ||
+                now_ + 2 * cfg_.tick > r.dedupStart + r.klass->dedupWindow);
     }
 
-    // The one judge of whether a send is legal, for first tries, further tries and copies alike.
+    // The only check of whether a send is allowed, for first attempts, retries and copies alike.
     bool maySend(const Request& r, const WorkerState& w) const {
-        if (r.done || r.streaming || !w.listed || stuck(r) || (r.out > 0 && !s_.mayDuplicate)) return false;
-        if (w.entry.classes ? !(w.entry.classes >> r.in.klass & 1)
-                            : r.klass->kind >= 0 && r.klass->kind != w.entry.kind)
+        if (r.answered || r.streaming || !w.listed || isSealed(r) || (r.inFlight > 0 && !cfg_.mayDuplicate))
             return false;
-        if (r.sends >= std::min<std::uint32_t>(s_.maxAttempts, kMostAttempts)) return false;
-        if (!tainted(r) || r.klass->effect == Effect::safe) return true;
-        if (r.klass->group == Group::zone) return w.entry.zone == r.zone;
-        return r.klass->group == Group::all || w.entry.cell == r.cell;
-    }
-
-    void finish(Request& r) {
-        r.done = true;
-        const bool shared = r.klass->effect == Effect::keyed && r.klass->group == Group::all;
-        if (!tainted(r) || r.klass->effect == Effect::safe || shared)
-            out_->push_back(Refuse{r.in.id, s_.retryAdvice ? std::min(s_.maxRetryAfter, kAdvice) : Nanos(0)});
+        if (w.entry.classMask ? !(w.entry.classMask >> r.arrival.klass & 1)
+                              : r.klass->kind >= 0 && r.klass->kind != w.entry.kind)
+            return false;
+        if (r.sends >= std::min<std::uint32_t>(cfg_.maxAttempts, kMaxAttempts)) return false;
+        if (!mayHaveEffect(r) || r.klass->idempotency == Idempotency::safe) return true;
+        if (r.klass->dedupScope == DedupScope::zone) return w.entry.zone == r.zone;
+        return r.klass->dedupScope == DedupScope::all || w.entry.cell == r.cell;
+    }
+
+    void reject(Request& r) {
+        r.answered = true;
+        const bool all = r.klass->idempotency == Idempotency::keyed && r.klass->dedupScope == DedupScope::all;
+        if (!mayHaveEffect(r) || r.klass->idempotency == Idempotency::safe || all)
+            actions_->push_back(Refuse{
+                r.arrival.id, cfg_.mayAdviseRetry ? std::min(cfg_.maxRetryAfter, kAdvisedRetry) : Nanos(0)});
         else
-            out_->push_back(Fail{r.in.id});
-        callOff(r);
+            actions_->push_back(Fail{r.arrival.id});
+        cancelAttempts(r);
     }
 
-    void callOff(const Request& r, std::uint32_t but = kMostAttempts) {
-        if (!s_.mayCancel) return;
+    void cancelAttempts(const Request& r, std::uint32_t but = kMaxAttempts) {
+        if (!cfg_.mayCancel) return;
         for (std::uint32_t a = 0; a < r.sends; ++a)
-            if (a != but && r.attempts[a].open) out_->push_back(Cancel{r.in.id, a});
+            if (a != but && r.attempts[a].open) actions_->push_back(Cancel{r.arrival.id, a});
     }
 
-    void take(const RequestArrived& e) {
-        if (e.klass >= s_.classes.size()) throw std::invalid_argument("unknown class");
-        if (e.id >> kTagBits) throw std::invalid_argument("request id out of range");
+    void handle(const RequestArrived& e) {
+        if (e.klass >= cfg_.classes.size()) throw std::invalid_argument("unknown class");
+        if (e.id >> kIdBits) throw std::invalid_argument("request id out of range");
         const auto [at, fresh] = requests_.try_emplace(e.id);
         if (!fresh) return;
         arrivals_.add(now_, 1);
         Request& r = at->second;
-        r.in = e, r.klass = &s_.classes[e.klass];
-        r.arrived = now_, r.deadline = now_ + e.timeLeft;
-        r.expected = expectedOf(e), r.work = r.expected * slotsOf(r);
-        meanJob_.add(r.work, 200), demand_.add(now_, r.work);
-        if (e.hasKey) keys_[e.key].demand.add(now_, r.work);
-        if (shed(r, e.clientRepeat) && !turnDue(r)) return finish(r), forget(r);
-        timer(kDeadline, r.in.id, seconds(e.timeLeft - s_.tick));
-        dispatch(r), forget(r);
-    }
-
-    void dispatch(Request& r, int rankBelow = kAnyRank) {
-        if (r.out == 0 && stuck(r)) return finish(r);
+        r.arrival = e, r.klass = &cfg_.classes[e.klass];
+        r.arrivedAt = now_, r.deadline = now_ + e.timeLeft;
+        r.expectedTime = expectedTime(e), r.work = r.expectedTime * slotsOf(r);
+        meanWork_.add(r.work, 200), demand_.add(now_, r.work);
+        if (e.hasAffinityKey) keys_[e.affinityKey].demand.add(now_, r.work);
+        if (shouldRefuse(r, e.isClientRetry) && !isColdTurnDue(r)) return reject(r), eraseIfDone(r);
+        arm(kDeadline, r.arrival.id, seconds(e.timeLeft - cfg_.tick));
+        dispatch(r), eraseIfDone(r);
+    }
+
+    void dispatch(Request& r, int rankBelow = kMaxRank) {
+        if (r.inFlight == 0 && isSealed(r)) return reject(r);
         const Worker h = pick(r, rankBelow);
-        if (h == kNone)  // none can start it in time, or it is held
-            return r.out > 0 ? void() : live_ && !active_.empty() ? finish(r) : timer(kRetry, r.in.id, 0.05);
+        if (h == kNoWorker)  // none can start it in time, or it waits
+            return r.inFlight > 0              ? void()
+                   : live_ && !active_.empty() ? reject(r)
+                                               : arm(kRetry, r.arrival.id, 0.05);
         WorkerState& w = workers_[h];
-        if (!tainted(r)) r.zone = w.entry.zone, r.cell = w.entry.cell, r.anchoredAt = now_;
+        if (!mayHaveEffect(r)) r.zone = w.entry.zone, r.cell = w.entry.cell, r.dedupStart = now_;
         Attempt& a = r.attempts[r.sends++];
-        // Where workers do not tell of starts, a job counts as started: waits cannot be told from running.
-        const double urgency = r.out > 0 ? 0 : 1 / std::max(1e-3, slack(r, *r.klass));  // a job waits once
-        a = {h, r.in.klass, now_, now_, urgency, waitAt(h), now_, true, !s_.tellsStart, false};
-        ++r.out, ++w.out, w.since += live_, w.held += slotsOf(r);
-        if (s_.tellsStart)
-            ++w.waiting, strainOf(w).backlog += a.urgency, strains_[a.klass].backlog += a.urgency;
-        if (r.sends == 1) offers_[r.offer].went = w.entry.kind;
-        const double size = sizeOf(r);
-        if (hot_[h].cold >= 0) cold_[static_cast<std::size_t>(hot_[h].cold)].sent += size;
+        const double urgency = r.inFlight > 0 ? 0 : 1 / std::max(1e-3, slack(r, *r.klass));
+        a = {h, r.arrival.klass, now_, now_, urgency, waitAt(h), now_, true, !cfg_.workersReportStart, false};
+        ++r.inFlight, ++w.inFlight, w.sentSince += live_, w.heldSlots += slotsOf(r);
+        if (cfg_.workersReportStart)
+            ++w.unstarted, waitOf(w).backlog += a.inverseSlack, waits_[a.klass].backlog += a.inverseSlack;
+        if (r.sends == 1) recent_[r.recentIndex].sentKind = w.entry.kind;
+        const double size = relativeSize(r);
+        if (pickData_[h].coldIndex >= 0) cold_[static_cast<std::size_t>(pickData_[h].coldIndex)].sent += size;
         poolOf(w).work.add(now_, r.work * slowness(w));
         sends_ += 1;
-        w.lastSize = std::clamp(size, 0.2, 10.0);
-        hot_[h] = {sends_, w.lnq / w.lastSize, hot_[h].cold};
-        if (zoneOf(w).misses >= kZoneMisses) zoneOf(w).retry = now_ + nanos(kFirstEjection);
-        if (w.ejected) w.trial = now_ + nanos(std::max(1.0, 2 * meanJob_.value));
-        out_->push_back(Send{r.in.id, h, Time(0)});
-        checkLater(r, a);
-    }
-
-    void take(const TimerFired& e) {
-        const std::uint64_t what = e.tag >> kTagBits;
-        if (what == kSubscribe) return out_->push_back(Subscribe{});
-        Request* const r = find(e.tag & ((std::uint64_t{1} << kTagBits) - 1));
-        if (!r || r->done || r->streaming) return;
-        if (what == kCheck) check(*r);
-        if (what == kRetry && r->out == 0) dispatch(*r), forget(*r);
-        if (what == kDeadline) finish(*r), forget(*r);
-    }
-
-    // Guards against workers that take jobs and fall silent: one that gave no sign since the job was sent,
-    // past the longest usual wait, or let its progress notes lapse, is ejected, and the job goes elsewhere if
-    // it may.
-    void check(Request& r) {
+        w.lastJobSize = std::clamp(size, 0.2, 10.0);
+        pickData_[h] = {sends_, w.logBusy / w.lastJobSize, pickData_[h].coldIndex};
+        if (zoneOf(w).failures >= kZoneFailures) zoneOf(w).retryAt = now_ + nanos(kFirstEjection);
+        if (w.ejected) w.trialUntil = now_ + nanos(std::max(1.0, 2 * meanWork_.value));
+        actions_->push_back(Send{r.arrival.id, h, Time(0)});
+        scheduleCheck(r, a);
+    }
+
+    void handle(const TimerFired& e) {
+        const std::uint64_t what = e.tag >> kIdBits;
+        if (what == kSubscribe) return actions_->push_back(Subscribe{});
+        Request* const r = find(e.tag & ((std::uint64_t{1} << kIdBits) - 1));
+        if (!r || r->answered || r->streaming) return;
+        if (what == kCheck) checkAttempt(*r);
+        if (what == kRetry && r->inFlight == 0) dispatch(*r), eraseIfDone(*r);
+        if (what == kDeadline) reject(*r), eraseIfDone(*r);
+    }
+
+    // Ejects workers that accept jobs and stop responding: nothing was heard since the send for longer than
+    // the longest usual wait, or progress notes are overdue. The job goes to another worker if allowed.
+    // Reports on other jobs count while it is not known to run.
+    void checkAttempt(Request& r) {
         Attempt& a = r.attempts[r.sends - 1];
         if (!a.open) return;
         WorkerState& w = workers_[a.worker];
-        const bool runs = a.started && (s_.tellsStart || a.heard > a.sent);  // else others' signs count, too
-        const double quiet = seconds(now_ - std::max(a.heard, runs ? Time(0) : w.sign));
-        const bool silent = a.started
-                                ? s_.progress.count() > 0 && quiet > 2.2 * seconds(s_.progress) + 2 * a.wait
-                                : quiet > std::max(kSilence, 1.5 * longest_);
-        if (silent && !w.ejected) strike(w, true);
-        if (!a.started && (silent || now_ - r.arrived > nanos(slack(r, *r.klass)))) waitOver(a, !silent);
+        const bool runs = a.started && (cfg_.workersReportStart || a.heardAt > a.sentAt);
+        const double quiet = seconds(now_ - std::max(a.heardAt, runs ? Time(0) : w.lastHeard));
+        const bool silent = a.started ? cfg_.progressInterval.count() > 0 &&
+                                            quiet > 2.2 * seconds(cfg_.progressInterval) + 2 * a.expectedWait
+                                      : quiet > std::max(kMinSilence, 1.5 * longestWait_);
+        if (silent && !w.ejected) recordFailure(w, true);
+        if (!a.started && (silent || now_ - r.arrivedAt > nanos(slack(r, *r.klass)))) endWait(a, !silent);
         const std::uint32_t before = r.sends;
         if (!a.started && mayCopy(r)) dispatch(r, 1);
-        if (silent && r.sends == before && s_.mayDuplicate && !blameLoad()) dispatch(r);
-        if (r.sends == before) checkLater(r, a);
+        if (silent && r.sends == before && cfg_.mayDuplicate && !isOverloaded()) dispatch(r);
+        if (r.sends == before) scheduleCheck(r, a);
     }
 
-    // Departure: a job that has not started soon gets a second copy at a worker of which nothing bad is
-    // known, and the first start calls the others off. Guards against waiting where others wait: one
-    // scheduler of many meets a worker too seldom to know its queue. Next to nothing runs twice.
+    // Beyond the published rule, a job that has not started soon gets a copy at a worker without known
+    // problems; the first start cancels the others. One scheduler of many uses a worker too seldom to know
+    // its queue. Hardly any job runs twice.
     bool mayCopy(const Request& r) const {
-        return s_.mayDuplicate && s_.mayCancel && r.sends < s_.maxAttempts;
+        return cfg_.mayDuplicate && cfg_.mayCancel && r.sends < cfg_.maxAttempts;
     }
 
-    void checkLater(const Request& r, const Attempt& a) {
-        const double goal = std::max(0.08, seconds(r.klass->goal));  // 0: it would never stop looking
-        if (!a.started) timer(kCheck, r.in.id, mayCopy(r) ? goal * kPatience : goal / 3 + 0.02);
-        if (a.started && s_.progress.count() > 0) timer(kCheck, r.in.id, 2.3 * seconds(s_.progress));
+    void scheduleCheck(const Request& r, const Attempt& a) {
+        const double goal = std::max(0.08, seconds(r.klass->targetLatency));  // 0 would check without end
+        if (!a.started) arm(kCheck, r.arrival.id, mayCopy(r) ? goal * kCopyDelay : goal / 3 + 0.02);
+        if (a.started && cfg_.progressInterval.count() > 0)
+            arm(kCheck, r.arrival.id, 2.3 * seconds(cfg_.progressInterval));
     }
 
     Request* find(RequestId id) {
@@ -431,230 +434,225 @@
         return at == requests_.end() ? nullptr : &at->second;
     }
 
-    void take(const StreamStarted& e) {
+    void handle(const StreamStarted& e) {
         if (Request* r = find(e.id)) r->streaming = true;
-        take(AttemptNote{e.id, e.attempt, true, 0});
+        handle(AttemptProgress{e.id, e.attempt, true, 0});
     }
 
-    void take(const AttemptNote& e) {  // a sign that this attempt is being worked on
+    void handle(const AttemptProgress& e) {
         Request* const r = find(e.id);
         if (!r || e.attempt >= r->sends || !r->attempts[e.attempt].open) return;
         Attempt& a = r->attempts[e.attempt];
         WorkerState& w = workers_[a.worker];
-        a.heard = w.sign = now_;
+        a.heardAt = w.lastHeard = now_;
         if (!a.started) {
-            waitOver(a, true);
-            --w.waiting, a.startedAt = now_;
-            longest_ = std::max(seconds(now_ - a.sent), longest_ * 0.98);
+            endWait(a, true);
+            --w.unstarted, a.startedAt = now_;
+            longestWait_ = std::max(seconds(now_ - a.sentAt), longestWait_ * 0.98);
         }
-        a.started = true, recover(w);
-        if (s_.mayCancel) keepOne(*r);
+        a.started = true, clearFailures(w);
+        if (cfg_.mayCancel) keepFirstStarted(*r);
     }
 
-    void keepOne(const Request& r) {  // of its attempts: the one that started first
+    void keepFirstStarted(const Request& r) {  // cancels all attempts but the first to start
         std::uint32_t best = r.sends;
         for (std::uint32_t a = 0; a < r.sends; ++a)
             if (r.attempts[a].open && r.attempts[a].started &&
                 (best == r.sends || r.attempts[a].startedAt < r.attempts[best].startedAt))
                 best = a;
-        callOff(r, best);
+        cancelAttempts(r, best);
     }
 
-    void take(const AttemptEnded& e) {
+    void handle(const AttemptEnded& e) {
         Request* const found = find(e.id);
         if (!found || e.attempt >= found->sends) return;
         Request& r = *found;
         Attempt& a = r.attempts[e.attempt];
         if (!a.open) return;
         WorkerState& w = workers_[a.worker];
-        a.open = false, --r.out, --w.out, w.since -= live_, w.held -= slotsOf(r);
-        if (!a.started) waitOver(a, false), --w.waiting;
+        a.open = false, --r.inFlight, --w.inFlight, w.sentSince -= live_, w.heldSlots -= slotsOf(r);
+        if (!a.started) endWait(a, false), --w.unstarted;
         const bool ok = e.outcome == Outcome::ok, full = e.outcome == Outcome::full;
-        const bool neverRan = full || e.outcome == Outcome::connectFailed || e.outcome == Outcome::moot;
-        if (!neverRan) r.mayHaveRun = true;
-        if (ok || full) w.sign = now_;
-        const bool jammed = full && r.out == 0 && r.sends >= s_.maxAttempts;  // no worker had room
-        if (ok || jammed) strains_[a.klass].jammed.add(now_, jammed, 1 / kWindowJobs);
+        const bool notRun = full || e.outcome == Outcome::connectFailed || e.outcome == Outcome::notExecuted;
+        if (!notRun) r.mayHaveRun = true;
+        if (ok || full) w.lastHeard = now_;
+        const bool jammed = full && r.inFlight == 0 && r.sends >= cfg_.maxAttempts;  // no worker had room
+        if (ok || jammed) waits_[a.klass].noRoomShare.add(now_, jammed, 1 / kSmoothingJobs);
         if (ok) {
-            served_.add(now_, sizeOf(r) / present_);                       // by what there was to serve it
-            const double ran = less(seconds(now_ - a.startedAt), a.wait);  // waits are not the job's own
-            ran_[r.in.klass].add(ran / std::clamp(slowness(w), 0.2, 5.0), 200);
-            hinted_[r.in.klass].add(seconds(r.in.hint), 200);
-            learn(a.worker, less(seconds(now_ - a.sent), a.wait) / expectedOf(r.in));
-            recover(w);
-        } else if (e.outcome != Outcome::cancelled && e.outcome != Outcome::moot &&
-                   e.outcome != Outcome::stale) {
-            learn(a.worker, 2 * slowness(w));  // the design: as a job of twice the smoothed time
-            if (!full && e.outcome != Outcome::error) strike(w, e.outcome == Outcome::timeout);
+            served_.add(now_, relativeSize(r) / available_);                          // per warm capacity
+            const double ran = ownTime(seconds(now_ - a.startedAt), a.expectedWait);  // without the wait
+            runs_[r.arrival.klass].add(ran / std::clamp(slowness(w), 0.2, 5.0), 200);
+            hints_[r.arrival.klass].add(seconds(r.arrival.durationHint), 200);
+            recordTime(a.worker, ownTime(seconds(now_ - a.sentAt), a.expectedWait) / expectedTime(r.arrival));
+            clearFailures(w);
+        } else if (e.outcome != Outcome::cancelled && e.outcome != Outcome::notExecuted &&
+                   e.outcome != Outcome::staleConnection) {
+            recordTime(a.worker, 2 * slowness(w));  // as a job of twice the smoothed time
+            if (!full && e.outcome != Outcome::error) recordFailure(w, e.outcome == Outcome::timeout);
         }
-        if (e.settled && !r.done) r.done = true, callOff(r);
-        // Guards against many schedulers' seldom used connections filling a worker's table.
-        if (ok && w.out == 0 && s_.handshakePrice == 0 && count(active_) > 4 * lambda_ * meanJob_.value)
-            out_->push_back(CloseIdle{a.worker});
-        if (!r.done && r.out == 0) again(r);
-        forget(r);
+        if (e.requestFinished && !r.answered) r.answered = true, cancelAttempts(r);
+        // Keeps rarely used connections of many schedulers from filling a worker's connection table.
+        if (ok && w.inFlight == 0 && cfg_.handshakeCost == 0 && count(active_) > 4 * rate_ * meanWork_.value)
+            actions_->push_back(CloseIdle{a.worker});
+        if (!r.answered && r.inFlight == 0) retry(r);
+        eraseIfDone(r);
     }
 
-    // Nothing of this request is out any more and it has no answer yet.
-    void again(Request& r) {
-        if (now_ + s_.tick >= r.deadline || r.sends >= s_.maxAttempts) return finish(r);
+    void retry(Request& r) {
+        if (now_ + cfg_.tick >= r.deadline || r.sends >= cfg_.maxAttempts) return reject(r);
         dispatch(r);
     }
 
-    void take(const ClientLeft& e) {
+    void handle(const ClientLeft& e) {
         Request* const r = find(e.id);
-        if (!r || r->done) return;
-        r->done = true, callOff(*r), forget(*r);
+        if (!r || r->answered) return;
+        r->answered = true, cancelAttempts(*r), eraseIfDone(*r);
     }
 
-    void take(const ProbeAnswered&) {}  // no probes are sent: own attempts tell enough
-    void forget(const Request& r) {
-        if (r.done && r.out == 0) requests_.erase(r.in.id);
+    void handle(const ProbeAnswered&) {}  // no probes are sent: own attempts suffice
+    void eraseIfDone(const Request& r) {
+        if (r.answered && r.inFlight == 0) requests_.erase(r.arrival.id);
     }
 
     // --- health ---
-    // When many look bad at once the load is to blame, or the view: ejection then does more harm than good.
-    bool blameLoad() const { return static_cast<double>(ejected_) > kEjectedShare * count(active_); }
-    bool leftOut(const WorkerState& w) const { return w.ejected && !(w.soft && blameLoad()); }
-
-    // Load makes workers silent or slow, but not unreachable: only what load may explain counts as soft.
-    void strike(WorkerState& w, bool soft) {
-        ++w.strikes, ++zoneOf(w).misses;
-        zoneOf(w).retry = now_ + nanos(kFirstEjection * (0.5 + random_.next()));
-        if (soft && !w.soft && w.listed) ++ejected_;
+    // Many failing at once means overload or a fault on this side: ejection then does more harm than good.
+    bool isOverloaded() const { return static_cast<double>(softCount_) > kMaxEjectedShare * count(active_); }
+    bool isExcluded(const WorkerState& w) const { return w.ejected && !(w.soft && isOverloaded()); }
+
+    void recordFailure(WorkerState& w, bool soft) {
+        ++w.failures, ++zoneOf(w).failures;
+        zoneOf(w).retryAt = now_ + nanos(kFirstEjection * (0.5 + random_.next()));
+        if (soft && !w.soft && w.listed) ++softCount_;
         w.soft = w.soft || soft, w.ejected = true;
-        // Guards against a dead worker tried by each of many schedulers: who comes by seldom skips a turn.
-        const double turn = soft ? 0 : count(active_) / lambda_;
+        // A scheduler that uses the worker seldom skips a turn: else many of them keep trying a dead worker.
+        const double turn = soft ? 0 : count(active_) / rate_;
         const double length = std::min(std::max(kLongestEjection, 2 * turn),
-                                       std::max(kFirstEjection, turn) * std::exp2(w.strikes - 1));
+                                       std::max(kFirstEjection, turn) * std::exp2(w.failures - 1));
         w.ejectedUntil = now_ + nanos(length * (0.75 + 0.5 * random_.next()));
     }
 
-    void recover(WorkerState& w) {
-        if (w.soft && w.listed) --ejected_;
-        w.strikes = 0, w.ejected = w.soft = false, zoneOf(w).misses = 0;
+    void clearFailures(WorkerState& w) {
+        if (w.soft && w.listed) --softCount_;
+        w.failures = 0, w.ejected = w.soft = false, zoneOf(w).failures = 0;
     }
 
-    // Guards against a zone cut off or lost: each of its workers would cost this scheduler a time-out. After
-    // a few misses there and no sign since, the zone gets one job at a time until one comes through.
     ZoneState& zoneOf(const WorkerState& w) { return zones_[static_cast<std::size_t>(w.entry.zone)]; }
-    bool zoneAway(const WorkerState& w) { return zoneOf(w).misses >= kZoneMisses && now_ < zoneOf(w).retry; }
+    bool isZoneDown(const WorkerState& w) {
+        return zoneOf(w).failures >= kZoneFailures && now_ < zoneOf(w).retryAt;
+    }
 
-    // An ejected worker comes back through a single job that may be repeated.
-    bool trialReady(const Request& r, const WorkerState& w) const {
-        if (now_ < w.ejectedUntil || w.trial > now_) return false;
-        return r.klass->effect == Effect::safe || (!anySafe_ && r.klass->effect == Effect::keyed);
+    bool isTrialDue(const Request& r, const WorkerState& w) const {
+        if (now_ < w.ejectedUntil || w.trialUntil > now_) return false;
+        return r.klass->idempotency == Idempotency::safe ||
+               (!hasSafeClass_ && r.klass->idempotency == Idempotency::keyed);
     }
 
     // --- cold budget ---
-    double ramp(const WorkerState& w) const {  // the least share of its capacity that a worker has by now
-        if (w.entry.since.count() == 0 || s_.cold.count() == 0 || s_.overloadFor.count() == 0) return 1;
-        const double warmth = seconds(now_ - w.entry.since) / seconds(s_.cold);
-        return warmth >= 1 ? 1 : s_.coldFrom + (1 - s_.coldFrom) * std::max(0.0, warmth);
-    }
-
-    // Guards against pushing a cold worker over. A span's budget is the multiple of its present part of what
-    // a warm peer of its weight gets from this scheduler (answered work, so that overload does not swell it).
-    // Below one job, schedulers take turns: in each span the seats around a number that all know are due, as
-    // many as the worker can bear jobs, more where a turn may well meet none; a fraction is a turn every few
-    // spans. It is due at once: ages of so few sends say nothing. Where all are cold, one job a span begins.
-    void warm() {
-        present_ = capacity_ + 1e-6;
-        for (const Cold& c : cold_) present_ -= (1 - ramp(workers_[c.worker])) * capacity(workers_[c.worker]);
-        const double least = cold_.size() == active_.size() ? 1.0 / s_.fleetSize : 0;
-        const double fair = std::min(lambda_ / present_, perSecond(served_)) * seconds(s_.overloadFor);
-        const double used = 1 - std::exp(-lambda_ * seconds(s_.overloadFor));  // chance of a job in a span
+    double ramp(const WorkerState& w) const {  // share of its capacity that a worker has by now, at least
+        if (w.entry.startedAt.count() == 0 || cfg_.warmup.count() == 0 || cfg_.coldBudgetSpan.count() == 0)
+            return 1;
+        const double warmth = seconds(now_ - w.entry.startedAt) / seconds(cfg_.warmup);
+        return warmth >= 1 ? 1 : cfg_.initialCapacity + (1 - cfg_.initialCapacity) * std::max(0.0, warmth);
+    }
+
+    // Updates the budgets of cold workers, as described at ColdWorker, and ends the warm-up of those that are
+    // warm.
+    void updateBudgets() {
+        available_ = capacity_ + 1e-6;
+        for (const ColdWorker& c : cold_)
+            available_ -= (1 - ramp(workers_[c.worker])) * capacity(workers_[c.worker]);
+        const double least = cold_.size() == active_.size() ? 1.0 / cfg_.schedulerCount : 0;
+        const double fair = std::min(rate_ / available_, perSecond(served_)) * seconds(cfg_.coldBudgetSpan);
+        const double used = 1 - std::exp(-rate_ * seconds(cfg_.coldBudgetSpan));  // chance of a job in a span
         int still = 0;
-        for (Cold& c : cold_) {
+        for (ColdWorker& c : cold_) {
             WorkerState& w = workers_[c.worker];
             const double part = ramp(w);
-            hot_[c.worker].cold = part < 1 ? still++ : -1;
-            if (part >= 1) hot_[c.worker].turn = kUnplaced;  // ages grew everywhere: or all come at once
-            if (part > 1.1 * c.priced) c.priced = part, price(c.worker);
-            const std::int64_t span = (now_ - w.entry.since) / s_.overloadFor;
+            pickData_[c.worker].coldIndex = part < 1 ? still++ : -1;
+            if (part >= 1) pickData_[c.worker].lastPick = kComesFirst;  // its age grew, too
+            if (part > 1.1 * c.rampAtCost) c.rampAtCost = part, updateCost(c.worker);
+            const std::int64_t span = (now_ - w.entry.startedAt) / cfg_.coldBudgetSpan;
             if (span != c.span) c.span = span, c.sent = 0;
-            c.share = std::max(least, kColdCaution * s_.fallMultiple * part * fair * capacity(w));
+            c.budget = std::max(least, kBudgetUse * cfg_.coldBudgetMultiple * part * fair * capacity(w));
             const auto first = static_cast<std::uint64_t>(
-                Random{w.entry.id + static_cast<std::uint64_t>(span)}.next() * s_.fleetSize);
+                Random{w.entry.id + static_cast<std::uint64_t>(span)}.next() * cfg_.schedulerCount);
             const double later = Random{w.entry.id}.next() + 0.618034 * static_cast<double>(span);
-            c.due = static_cast<double>((s_.me + first) % s_.fleetSize) + later - std::floor(later) <
-                    c.share * s_.fleetSize / used;
+            c.isDue = static_cast<double>((cfg_.schedulerIndex + first) % cfg_.schedulerCount) + later -
+                          std::floor(later) <
+                      c.budget * cfg_.schedulerCount / used;
         }
         if (static_cast<std::size_t>(still) == cold_.size()) return;
-        std::erase_if(cold_, [this](const Cold& c) { return hot_[c.worker].cold < 0; });
-        place();
+        std::erase_if(cold_, [this](const ColdWorker& c) { return pickData_[c.worker].coldIndex < 0; });
+        placeNew();
     }
 
-    bool coldAllows(const Request& r, const Cold& c, double& cost) const {
-        const double size = sizeOf(r);
-        if (c.share >= 1) return c.sent + size <= c.share;
-        if (!c.due || c.sent > 0 || 2 * kColdCaution * size > c.share * s_.fleetSize) return false;
-        cost = kUnplaced;
+    bool fitsColdBudget(const Request& r, const ColdWorker& c, double& cost) const {
+        const double size = relativeSize(r);
+        if (c.budget >= 1) return c.sent + size <= c.budget;
+        if (!c.isDue || c.sent > 0 || 2 * kBudgetUse * size > c.budget * cfg_.schedulerCount) return false;
+        cost = kComesFirst;
         return true;
     }
 
-    bool turnDue(const Request& r) const {  // a cold worker waits for this scheduler's next job
+    bool isColdTurnDue(const Request& r) const {  // it is this scheduler's turn at a cold worker
         double cost = 0;
-        for (const Cold& c : cold_)
-            if (c.share < 1 && maySend(r, workers_[c.worker]) && coldAllows(r, c, cost)) return true;
+        for (const ColdWorker& c : cold_)
+            if (c.budget < 1 && maySend(r, workers_[c.worker]) && fitsColdBudget(r, c, cost)) return true;
         return false;
     }
 
     // --- admission and fairness ---
-    // Guards against jams: work that waits past its slack is lost and delays all behind it. New work is
-    // refused at the door in proportion to the strain of its class, the least worth per unit of work first
-    // among what goes to the same kind: what waits elsewhere is no reason.
+    // The longest wait, in seconds, after which a job of that class can still be on time.
     static double slack(const Request& r, const ClassSettings& as) {
-        return seconds(as.goal) + std::max(0.2, as.stretch - 1) * r.expected;
+        return seconds(as.targetLatency) + std::max(0.2, as.stretch - 1) * r.expectedTime;
     }
 
-    // The mean wait in parts of the slack, by Little's law from own unstarted attempts. Looking at waits only
-    // as they end is too late: the door then swings between shut and open.
-    void feel(Strain& s) {
+    // Updates the mean wait, as a share of the slack, by Little's law from own unstarted attempts.
+    void updateMeanWait(WaitState& s) {
         const double y = std::min(2.0, s.backlog / std::max(perSecond(s.starts), 0.2));
-        const double dt = seconds(now_ - s.feltAt);
-        const double most = std::max(0.05, 1 - std::exp(-dt / kFeelMost));  // of one sample
-        s.mean += (y - s.mean) * std::min(1 - std::exp(-dt / kFeel), most), s.feltAt = now_;
-    }
-
-    // A wait counts until it ends or has used up its slack: few jobs stuck behind heavy ones say little.
-    void waitOver(Attempt& a, bool served) {
-        if (a.overdue || a.started) return;
-        a.overdue = true;
-        for (Strain* strain : {&strains_[a.klass], &strainOf(workers_[a.worker])}) {
-            strain->backlog -= a.urgency;
-            if (served) strain->starts.add(now_, 1);
+        const double dt = seconds(now_ - s.updatedAt);
+        const double most = std::max(0.05, 1 - std::exp(-dt / kSparseWaitSmoothing));  // of one sample
+        s.mean += (y - s.mean) * std::min(1 - std::exp(-dt / kWaitSmoothing), most), s.updatedAt = now_;
+    }
+
+    // A wait counts until it ends or its slack is used up: a few jobs stuck behind heavy ones say little.
+    void endWait(Attempt& a, bool served) {
+        if (a.waitEnded || a.started) return;
+        a.waitEnded = true;
+        for (WaitState* wait : {&waits_[a.klass], &waitOf(workers_[a.worker])}) {
+            wait->backlog -= a.inverseSlack;
+            if (served) wait->starts.add(now_, 1);
         }
     }
 
-    // Worth of a tenant's next job: less for the part of its traffic that is over its quota, as this
-    // scheduler's share of it shows, give or take a job. Guards the others against one tenant's burst.
-    double fairness(const Request& r) {
-        const auto tenant = static_cast<std::size_t>(r.in.tenant);
-        if (r.in.tenant < 0 || tenant >= tenants_.size()) return 1;
-        tenants_[tenant].add(now_, 1);
-        const double quota = s_.tenants[tenant].quotaPerSecond / s_.fleetSize + 1 / kWindow;
-        return 1 - (1 - s_.overShareWorth) * std::max(0.0, 1 - quota / perSecond(tenants_[tenant]));
-    }
-
-    bool shed(Request& r, bool repeat) {
-        for (Pool& pool : pools_)
-            for (Strain& strain : pool.strains) feel(strain);
-        Strain& strain = strains_[r.in.klass];
-        feel(strain);
-        const double worth = fairness(r) * r.klass->worth * (repeat ? r.klass->lateWorth : 1);
-        const Offer own{s_.worthByWork ? worth : worth / r.work, r.work, r.klass->kind, r.klass->kind};
-        offers_[r.offer = offered_++ % offers_.size()] = own;
-        // The goal counts the worst class, too: one goes ahead only where that gains more than serving all.
-        asked_.add(now_, own.value * own.work);
-        const double mean = asked_.at(now_) / std::max(1e-9, demand_.at(now_));
-        r.ahead = s_.wholeGoal * own.value > (s_.wholeGoal + s_.worstClassGoal) * mean;
+    // Factor on the worth of a tenant's request: lower for the share of its traffic over its quota, as seen
+    // by this scheduler, plus or minus a job. Protects other tenants from one tenant's burst.
+    double quotaFactor(const Request& r) {
+        const auto tenant = static_cast<std::size_t>(r.arrival.tenant);
+        if (r.arrival.tenant < 0 || tenant >= tenantRates_.size()) return 1;
+        tenantRates_[tenant].add(now_, 1);
+        const double quota = cfg_.tenants[tenant].quotaPerSecond / cfg_.schedulerCount + 1 / kRateWindow;
+        return 1 - (1 - cfg_.overQuotaWorth) * std::max(0.0, 1 - quota / perSecond(tenantRates_[tenant]));
+    }
+
+    bool shouldRefuse(Request& r, bool repeat) {
+        for (KindPool& pool : pools_)
+            for (WaitState& wait : pool.waits) updateMeanWait(wait);
+        WaitState& wait = waits_[r.arrival.klass];
+        updateMeanWait(wait);
+        const double worth = quotaFactor(r) * r.klass->worth * (repeat ? r.klass->lateWorth : 1);
+        const RecentJob own{cfg_.worthPerWork ? worth : worth / r.work, r.work, r.klass->kind, r.klass->kind};
+        recent_[r.recentIndex = recentCount_++ % recent_.size()] = own;
+        // The goal includes the worst class: a class is prioritized only if that gains more than serving all.
+        arrivedWorth_.add(now_, own.value * own.work);
+        const double mean = arrivedWorth_.at(now_) / std::max(1e-9, demand_.at(now_));
+        r.prioritized = cfg_.overallWeight * own.value > (cfg_.overallWeight + cfg_.worstClassWeight) * mean;
         const double share =
-            std::min(kMostShed, kShedding * (strain.mean + strain.jammed.at(now_) - kStrain));
+            std::min(kMaxShedShare, kShedFactor * (wait.mean + wait.noRoomShare.at(now_) - kToleratedWait));
         if (share < 0.01) return false;
         double below = 0, equal = 0, all = 0;
-        for (const Offer& o : offers_) {
-            if (o.kind != own.kind && o.went != own.kind) continue;
+        for (const RecentJob& o : recent_) {
+            if (o.neededKind != own.neededKind && o.sentKind != own.neededKind) continue;
             all += o.work;
             if (o.value < own.value) below += o.work;
             if (o.value == own.value) equal += o.work;
@@ -663,34 +661,36 @@
     }
 
     // --- state ---
-    void timer(Tag what, RequestId id, double delay) {
-        out_->push_back(SetTimer{nanos(std::max(delay, 0.0)), (std::uint64_t{what} << kTagBits) | id});
+    void arm(TimerKind what, RequestId id, double delay) {
+        actions_->push_back(SetTimer{nanos(std::max(delay, 0.0)), (std::uint64_t{what} << kIdBits) | id});
     }
 
-    Settings s_;
+    Settings cfg_;
     Random random_;
-    std::vector<Action>* out_ = nullptr;
-    bool begun_ = false, anySafe_ = false, live_ = false;  // live: the list tells what workers hold
-    Time now_{0}, start_{0}, refreshedAt_{0};
-    double lambda_ = 1 / kWindow, sends_ = 0, backoff_ = 0, yard_ = 0, capacity_ = 1, present_ = 1;
+    std::vector<Action>* actions_ = nullptr;
+    bool started_ = false, hasSafeClass_ = false, live_ = false;
+    Time now_{0}, startTime_{0}, refreshedAt_{0};
+    // rate_: own requests per second behind the costs; available_: capacity_ less that missing while cold
+    double rate_ = 1 / kRateWindow, sends_ = 0, backoff_ = 0, meanWeight_ = 0, capacity_ = 1, available_ = 1;
     std::vector<WorkerState> workers_;
-    std::vector<Hot> hot_;
-    std::vector<Worker> active_;  // those that may get work
-    std::vector<Cold> cold_;      // the cold ones among them
-    std::size_t ejected_ = 0, offered_ = 0;
-    std::vector<Mean> ran_, hinted_, kinds_;  // by class: seconds that jobs ran, and their hints
-    std::vector<int> scarce_;                 // kinds that some class depends on
+    std::vector<PickData> pickData_;
+    std::vector<Worker> active_;    // listed, in the order of handles
+    std::vector<ColdWorker> cold_;  // those of them that are warming up
+    std::size_t softCount_ = 0, recentCount_ = 0;
+    std::vector<Mean> runs_, hints_,
+        byKind_;                    // by class: run times and hints in seconds; by kind: relative job times
+    std::vector<int> neededKinds_;  // kinds that some class needs
     std::vector<ZoneState> zones_;
-    std::vector<Pool> pools_;      // by kind
-    std::vector<Strain> strains_;  // by class
-    Mean meanJob_;
-    std::array<Offer, 64> offers_{};
-    double longest_ = 1;  // the longest recent wait for a start
+    std::vector<KindPool> pools_;   // by kind
+    std::vector<WaitState> waits_;  // by class
+    Mean meanWork_;
+    std::array<RecentJob, 64> recent_{};
+    double longestWait_ = 1;  // longest recent wait for a start, in seconds
     std::unordered_map<RequestId, Request> requests_;
-    std::unordered_map<std::uint64_t, KeyState> keys_;
-    std::uint64_t roster_ = 0;
-    Flow arrivals_, served_, demand_, asked_;
-    std::vector<Flow> tenants_;
+    std::unordered_map<std::uint64_t, KeyHomes> keys_;
+    std::uint64_t rosterNumber_ = 0;
+    SmoothedRate arrivals_, served_, demand_, arrivedWorth_;
+    std::vector<SmoothedRate> tenantRates_;
 };
 
 Dispatcher::Dispatcher(Settings settings, std::uint64_t seed)
@@ -701,8 +701,8 @@
 void Dispatcher::on(Time now, const Event& event, std::vector<Action>& actions) {
     rules_->on(now, event, actions);
 }
-std::size_t Dispatcher::avoided() const {
-    return rules_->avoided();
+std::size_t Dispatcher::avoidedWorkerCount() const {
+    return rules_->avoidedWorkerCount();
 }
 
 }  // namespace heronmount
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -68,15 +68,16 @@
         const object from = asObject(entry, "classes");
         const std::size_t i = s.classes.size();
         ClassSettings c;
-        c.goal = duration(from, "goalTime");
-        c.giveUp = duration(from, "giveUp");
-        c.window = duration(from, "window", 0);
-        c.effect = choice<Effect>(text(from, "effect"), "effect",
-                                  {{"read_like", Effect::safe},
-                                   {"idempotency_key", Effect::keyed},
-                                   {"non_idempotent", Effect::unsafe}});
-        c.group = choice<Group>(text(from, "group", "all"), "group",
-                                {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
+        c.targetLatency = duration(from, "goalTime");
+        c.clientTimeout = duration(from, "giveUp");
+        c.dedupWindow = duration(from, "window", 0);
+        c.idempotency = choice<Idempotency>(text(from, "effect"), "effect",
+                                            {{"read_like", Idempotency::safe},
+                                             {"idempotency_key", Idempotency::keyed},
+                                             {"non_idempotent", Idempotency::unsafe}});
+        c.dedupScope = choice<DedupScope>(
+            text(from, "group", "all"), "group",
+            {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
         c.worth = number(from, "credit", 1);
         c.lateWorth = number(from, "lateWorth", 0);
         c.stretch = number(from, "aimStretch", i < stretch.size() ? stretch[i] : 0);
@@ -97,21 +98,21 @@
     const std::int64_t size = integer(info, "fleetSize"), me = integer(info, "me");
     if (size < 1 || size > 1'000'000) throw BadField("field 'fleetSize' is not from 1 to 1000000");
     if (me < 0 || me >= size) throw BadField("field 'me' is not from 0 to below fleetSize");
-    s.fleetSize = static_cast<std::uint32_t>(size), s.me = static_cast<std::uint32_t>(me);
+    s.schedulerCount = static_cast<std::uint32_t>(size), s.schedulerIndex = static_cast<std::uint32_t>(me);
     s.zone = static_cast<int>(integer(info, "zone", 0));
     s.zones = static_cast<int>(listSize(info, "zones"));
     s.kinds = static_cast<int>(listSize(info, "machineTypes"));
-    s.askRoster = choice<bool>(text(info, "discovery"), "discovery", {{"push", false}, {"ask", true}});
+    s.rosterOnRequest = choice<bool>(text(info, "discovery"), "discovery", {{"push", false}, {"ask", true}});
     s.mayCancel = flag(allowed, "cancelling", false);
     s.mayDuplicate = flag(allowed, "mayDuplicate", false);
     s.mayProbe = flag(allowed, "probing", false);
-    s.retryAdvice = flag(allowed, "retryAfter", false);
+    s.mayAdviseRetry = flag(allowed, "retryAfter", false);
     const std::int64_t attempts = integer(allowed, "maxAttempts");
     if (attempts < 1 || attempts > 1000) throw BadField("field 'maxAttempts' is not from 1 to 1000");
     s.maxAttempts = static_cast<std::uint32_t>(attempts);
     s.maxRetryAfter = duration(allowed, "maxRetryAfter", 0);
-    s.tellsStart = flag(family, "tellsStart", false);
-    s.progress = duration(family, "progress", 0);
+    s.workersReportStart = flag(family, "tellsStart", false);
+    s.progressInterval = duration(family, "progress", 0);
     s.queueOrder = choice<QueueOrder>(
         text(family, "queueOrder", "fifo"), "queueOrder",
         {{"fifo", QueueOrder::fifo}, {"backfill", QueueOrder::backfill}, {"priority", QueueOrder::priority}});
@@ -120,23 +121,23 @@
                                  {"nominal", Weights::nominal},
                                  {"rough", Weights::rough},
                                  {"live", Weights::live}});
-    s.worthByWork =
+    s.worthPerWork =
         choice<bool>(text(info, "worthBy", "request"), "worthBy", {{"request", false}, {"work", true}});
-    s.overShareWorth = number(info, "overShareWorth", 1);
+    s.overQuotaWorth = number(info, "overShareWorth", 1);
     if (const auto goal = find(info, "goal")) {
-        s.wholeGoal = number(asObject(*goal, "goal"), "whole", 1);
-        s.worstClassGoal = number(asObject(*goal, "goal"), "worstClass", 0);
+        s.overallWeight = number(asObject(*goal, "goal"), "whole", 1);
+        s.worstClassWeight = number(asObject(*goal, "goal"), "worstClass", 0);
     }
     if (const auto prices = find(info, "prices")) {
-        s.handshakePrice = number(asObject(*prices, "prices"), "handshake", 0);
-        s.crossZonePrice = number(asObject(*prices, "prices"), "crossZone", 0);
+        s.handshakeCost = number(asObject(*prices, "prices"), "handshake", 0);
+        s.crossZoneCost = number(asObject(*prices, "prices"), "crossZone", 0);
     }
     s.tick = duration(info, "tick", 0);
-    s.askWithin = duration(rules, "askWithin", 0);
-    s.cold = duration(rules, "cold", 0);
-    s.coldFrom = number(rules, "coldFrom", 1);
-    s.fallMultiple = number(rules, "fallMultiple", 1);
-    s.overloadFor = duration(rules, "overloadFor", 0);
+    s.rosterRequestWindow = duration(rules, "askWithin", 0);
+    s.warmup = duration(rules, "cold", 0);
+    s.initialCapacity = number(rules, "coldFrom", 1);
+    s.coldBudgetMultiple = number(rules, "fallMultiple", 1);
+    s.coldBudgetSpan = duration(rules, "overloadFor", 0);
     return s;
 }
 
--- a/tests/consul_test.cpp
+++ b/tests/consul_test.cpp
@@ -75,8 +75,8 @@
         settings::Site s;
         s.classes = {"car-match"}, s.zones = {"sofia-1", "plovdiv-1"}, s.kinds = {"std-4", "slow-4"};
         s.module.classes.resize(1);
-        s.module.classes[0].giveUp = 8s, s.module.classes[0].goal = 400ms;
-        s.module.zones = s.module.kinds = 2, s.module.askRoster = true;
+        s.module.classes[0].clientTimeout = 8s, s.module.classes[0].targetLatency = 400ms;
+        s.module.zones = s.module.kinds = 2, s.module.rosterOnRequest = true;
         s.idleClose = 5s, s.connectTimeout = 250ms;
         return s;
     }
--- a/tests/consul_view_test.cpp
+++ b/tests/consul_view_test.cpp
@@ -9,7 +9,7 @@
 namespace amberswitch::consul {
 namespace {
 
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 using namespace std::chrono_literals;
 
 Instance instance(const std::string& id, int port, Health health = Health::passing) {
@@ -27,11 +27,11 @@
     told = view.answer(3s, "a", {instance("x", 1, Health::warning), instance("y", 2)});
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(told[0].units, 2);
-    EXPECT_EQ(told[0].standing, Standing::on);
+    EXPECT_EQ(told[0].standing, WorkerStatus::on);
     told = view.answer(4s, "a", {instance("y", 2)});
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(told[0].name, "x");
-    EXPECT_EQ(told[0].standing, Standing::off);
+    EXPECT_EQ(told[0].standing, WorkerStatus::off);
     EXPECT_EQ(view.heardOf("a"), Time(4s));
     EXPECT_EQ(view.heardOf("b"), std::nullopt);
 }
@@ -44,13 +44,13 @@
     auto told = view.answer(2s, "b", {instance("x-b", 1, Health::critical)});
     ASSERT_EQ(told.size(), 1u);
     EXPECT_EQ(told[0].name, "x");
-    EXPECT_EQ(told[0].standing, Standing::draining);
+    EXPECT_EQ(told[0].standing, WorkerStatus::draining);
     told = view.answer(3s, "b", {});  // one of two listings goes: it is not gone, and good again
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].standing, Standing::on);
+    EXPECT_EQ(told[0].standing, WorkerStatus::on);
     told = view.answer(4s, "a", {});
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].standing, Standing::off);
+    EXPECT_EQ(told[0].standing, WorkerStatus::off);
     EXPECT_EQ(view.members(), 0u);
 }
 
@@ -62,7 +62,7 @@
     EXPECT_EQ(told[0].name, "x");
     EXPECT_EQ(told[0].address, "10.0.0.1:9");
     EXPECT_EQ(told[0].since, Time(5s));
-    EXPECT_EQ(told[0].standing, Standing::on);
+    EXPECT_EQ(told[0].standing, WorkerStatus::on);
     Instance anew = instance("x", 9);
     anew.created = 7;
     told = view.answer(8s, "a", {anew});
@@ -93,14 +93,14 @@
     for (int flap = 0; flap < 6; ++flap) {
         auto told = view.answer(now, "a", {instance("x", 1, Health::critical)});
         ASSERT_LE(told.size(), 1u);
-        for (const Member& member : told) EXPECT_EQ(member.standing, Standing::draining);
+        for (const Member& member : told) EXPECT_EQ(member.standing, WorkerStatus::draining);
         now += 1s;
         told = view.answer(now, "a", {instance("x", 1)});
         const auto until = view.heldUntil("x");
         waits.push_back(until ? std::chrono::duration<double>(*until - now).count() : 0);
         if (!until) {
             ASSERT_EQ(told.size(), 1u);
-            EXPECT_EQ(told[0].standing, Standing::on);
+            EXPECT_EQ(told[0].standing, WorkerStatus::on);
         } else {
             EXPECT_TRUE(told.empty());
             EXPECT_EQ(view.next(), until);
@@ -116,7 +116,7 @@
     EXPECT_EQ(waits.back(), 10);
     const auto told = view.due(*view.heldUntil("x"));
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].standing, Standing::on);
+    EXPECT_EQ(told[0].standing, WorkerStatus::on);
     EXPECT_EQ(view.heldDown(), 0u);
     now += 20min;  // it is forgotten
     view.answer(now, "a", {instance("x", 1, Health::critical)});
@@ -133,7 +133,7 @@
     }
     const auto told = view.answer(now += 1s, "a", {instance("x", 1)});
     ASSERT_EQ(told.size(), 1u);
-    EXPECT_EQ(told[0].standing, Standing::draining);
+    EXPECT_EQ(told[0].standing, WorkerStatus::draining);
     EXPECT_EQ(view.heldDown(), 1u);
 }
 
@@ -148,12 +148,12 @@
 }
 
 // What a plain reading of the newest full answers comes to, without memory.
-std::map<std::string, Standing> recomputed(const std::map<std::string, std::vector<Instance>>& lists) {
-    std::map<std::string, Standing> out;
+std::map<std::string, WorkerStatus> recomputed(const std::map<std::string, std::vector<Instance>>& lists) {
+    std::map<std::string, WorkerStatus> out;
     for (const auto& [scope, list] : lists)
         for (const Instance& one : list) {
-            Standing& standing = out.try_emplace(one.address, Standing::on).first->second;
-            if (one.health == Health::critical) standing = Standing::draining;
+            WorkerStatus& standing = out.try_emplace(one.address, WorkerStatus::on).first->second;
+            if (one.health == Health::critical) standing = WorkerStatus::draining;
         }
     return out;
 }
@@ -161,13 +161,13 @@
 // What a follower of the changes holds, against the plain reading: never more than it, and equal once nothing
 // is held down. Returns the first difference.
 std::string difference(const std::map<std::string, Member>& followed, const View& view,
-                       const std::map<std::string, Standing>& plain) {
+                       const std::map<std::string, WorkerStatus>& plain) {
     if (followed.size() != plain.size()) return "sizes differ";
     for (const auto& [name, member] : followed) {
         const auto is = plain.find(member.address);
         if (is == plain.end()) return member.address + " is nowhere listed";
-        if (member.standing == Standing::on && is->second != Standing::on) return name + " drains";
-        if (member.standing != Standing::on && is->second == Standing::on && !view.heldUntil(name))
+        if (member.standing == WorkerStatus::on && is->second != WorkerStatus::on) return name + " drains";
+        if (member.standing != WorkerStatus::on && is->second == WorkerStatus::on && !view.heldUntil(name))
             return name + " is on and not held down";
     }
     return "";
@@ -191,7 +191,7 @@
         Time now = 1s;
         const auto follow = [&](const View::Changes& changes) {
             for (const Member& change : changes) {
-                if (change.standing == Standing::off)
+                if (change.standing == WorkerStatus::off)
                     followed.erase(change.name);
                 else
                     followed[change.name] = change;
@@ -251,7 +251,7 @@
     EXPECT_EQ(difference(followed, view, recomputed(lists)), "sizes differ");
     lists["a"][0].health = Health::passing;
     followed.erase("x");
-    followed["y"].standing = Standing::draining;
+    followed["y"].standing = WorkerStatus::draining;
     EXPECT_EQ(difference(followed, view, recomputed(lists)), "y is on and not held down");
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -12,9 +12,9 @@
 namespace amberswitch {
 namespace {
 
-using heronmount::Effect;
+using heronmount::Idempotency;
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 using namespace std::chrono_literals;
 
 settings::Site site() {
@@ -24,13 +24,16 @@
     s.zones = {"sofia-1", "plovdiv-1"};
     s.kinds = {"std-4", "slow-4"};
     s.module.classes.resize(2);
-    s.module.classes[0].goal = 400ms, s.module.classes[0].giveUp = 8s;
-    s.module.classes[1].goal = 400ms, s.module.classes[1].giveUp = 5s, s.module.classes[1].window = 7500ms;
-    s.module.classes[1].effect = Effect::keyed, s.module.classes[1].group = heronmount::Group::cell;
+    s.module.classes[0].targetLatency = 400ms, s.module.classes[0].clientTimeout = 8s;
+    s.module.classes[1].targetLatency = 400ms, s.module.classes[1].clientTimeout = 5s,
+    s.module.classes[1].dedupWindow = 7500ms;
+    s.module.classes[1].idempotency = Idempotency::keyed,
+    s.module.classes[1].dedupScope = heronmount::DedupScope::cell;
     s.module.tenants.resize(1);
     s.module.zones = 2, s.module.kinds = 2;
-    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.tellsStart = true;
-    s.module.retryAdvice = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms, s.module.askRoster = true;
+    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.workersReportStart = true;
+    s.module.mayAdviseRetry = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms,
+    s.module.rosterOnRequest = true;
     s.idleClose = 5s, s.connectTimeout = 250ms;
     return s;
 }
@@ -52,10 +55,10 @@
     std::vector<ProxyPass> started, abandoned;
 };
 
-FarmEntry entry(const std::string& name, Standing standing = Standing::on) {
+FarmEntry entry(const std::string& name, WorkerStatus standing = WorkerStatus::on) {
     FarmEntry e;
     e.name = name;
-    e.entry.standing = standing;
+    e.entry.status = standing;
     e.entry.cell = static_cast<int>(settings::fingerprint(name) % 1000);
     return e;
 }
@@ -80,7 +83,7 @@
 };
 
 TEST_F(CoreTest, AnswersOnceHoweverOftenAPassEnds) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(0);
     ASSERT_EQ(fleet.started.size(), 1u);
     core.passEnded(now, id, 0, End::served, "r");
@@ -95,7 +98,7 @@
 
 // Guards against a log that grows with the load, and against one that costs something while it is off.
 TEST_F(CoreTest, TracesEachStepWithinItsBound) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     ask(0);
     std::vector<std::string> lines;
     core.trace().open([&](const std::string& line) { lines.push_back(line); }, 4);
@@ -117,7 +120,7 @@
 }
 
 TEST_F(CoreTest, AnswersBeforeTheClientGivesUp) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1, 3s);
     pass(3s);
     EXPECT_EQ(client->answers, 1);
@@ -135,7 +138,7 @@
 
 // Guards against clients that learn of the process's end by a reset: who may come again is told so.
 TEST_F(CoreTest, AnswersAllThatIsOpenWhenTheProcessEnds) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto safe = ask(0), keyed = ask(1);
     core.giveUpAll(now);
     core.giveUpAll(now);
@@ -148,7 +151,7 @@
 }
 
 TEST_F(CoreTest, GivesTheReasonOfTheLastFailure) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1);
     core.passEnded(now, id, 0, End::failed, "no driver");
     for (std::size_t n = 1; n < fleet.started.size(); ++n)
@@ -157,8 +160,8 @@
 }
 
 TEST_F(CoreTest, SendsNothingToAServerThatDrainsOrIsGone) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a"), entry("b")});
-    core.farm(now, fleet, fleet, RosterMode::changes, {entry("a", Standing::draining)});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a"), entry("b")});
+    core.farm(now, fleet, fleet, RosterMode::incremental, {entry("a", WorkerStatus::draining)});
     for (int i = 0; i < 10; ++i) ask(0), core.passEnded(now, id, 0, End::served, "");
     for (const ProxyPass& one : fleet.started) EXPECT_EQ(one.server, core.handleOf("b"));
     EXPECT_FALSE(core.accepts(core.handleOf("a")));
@@ -167,9 +170,9 @@
 // Guards against one source's whole list wiping out what another source told.
 TEST_F(CoreTest, AWholeListReplacesItsOwnSourceOnly) {
     Fleet other;
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
-    core.farm(now, other, other, RosterMode::changes, {entry("w")});
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("b")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.farm(now, other, other, RosterMode::incremental, {entry("w")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("b")});
     EXPECT_FALSE(core.accepts(core.handleOf("a")));
     EXPECT_TRUE(core.accepts(core.handleOf("b")));
     EXPECT_TRUE(core.accepts(core.handleOf("w")));
@@ -179,8 +182,8 @@
 
 TEST_F(CoreTest, AServerThatNamesItsClassesGetsNoOther) {
     auto only = entry("w");
-    only.entry.classes = 1;  // car-match
-    core.farm(now, fleet, fleet, RosterMode::whole, {only});
+    only.entry.classMask = 1;  // car-match
+    core.farm(now, fleet, fleet, RosterMode::full, {only});
     ask(1);
     EXPECT_TRUE(fleet.started.empty());
     ask(0);
@@ -192,11 +195,11 @@
 TEST_F(CoreTest, NothingIsSentAgainAfterACallOffWhereCopiesAreNotAllowed) {
     for (const bool copies : {false, true}) {
         settings::Site strict = site();
-        strict.module.mayDuplicate = copies, strict.module.progress = 1s;
+        strict.module.mayDuplicate = copies, strict.module.progressInterval = 1s;
         Deadlines due;
         Core own(strict, 5, due);
         Fleet servers;
-        own.farm(now, servers, servers, RosterMode::whole, {entry("a"), entry("b"), entry("c")});
+        own.farm(now, servers, servers, RosterMode::full, {entry("a"), entry("b"), entry("c")});
         Arrival arrival;
         arrival.request.klass = 0, arrival.request.timeLeft = 8s;
         arrival.client = std::make_shared<Client>();
@@ -209,7 +212,7 @@
 }
 
 TEST_F(CoreTest, ALeavingClientCallsItsPassesOff) {
-    core.farm(now, fleet, fleet, RosterMode::whole, {entry("a")});
+    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1);
     core.clientLeft(now, id);
     core.clientLeft(now, id);
@@ -245,7 +248,7 @@
     PoolTest() {
         for (const char* name : {"a", "b"})
             pool.learn(now, core.handleOf(name), name, std::string(name) + ":1");
-        core.farm(now, fleet, pool, RosterMode::whole, {entry("a"), entry("b")});
+        core.farm(now, fleet, pool, RosterMode::full, {entry("a"), entry("b")});
     }
     std::shared_ptr<Client> job(std::uint32_t klass, const std::string& trace) {
         auto client = std::make_shared<Client>();
@@ -348,7 +351,7 @@
 TEST_F(PoolTest, LearnsHowLongAConnectionMayRest) {
     const std::string taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     const auto carry = [&](std::size_t at) { network.take(at, now), network.give(at, now, taken); };
-    core.farm(now, fleet, pool, RosterMode::changes, {entry("b", Standing::off)});
+    core.farm(now, fleet, pool, RosterMode::incremental, {entry("b", WorkerStatus::off)});
     job(0, "t"), network.made[0]->opened(now), carry(0);
     pass(2s);
     job(0, "u");
@@ -423,7 +426,7 @@
 // too.
 TEST_F(PoolTest, APushedListIsWatchedFromTheStartAndAgainAfterSilence) {
     settings::Site pushed = site();
-    pushed.module.askRoster = false, pushed.drainGrace = 2s;
+    pushed.module.rosterOnRequest = false, pushed.drainGrace = 2s;
     Core own(pushed, 3, deadlines);
     platform::Servers servers(own, deadlines, network);
     platform::Watch watch(own, servers, deadlines, network, "agent:1");
@@ -720,7 +723,7 @@
     platform::BadJob bad;
     const auto job = platform::readJob(core.site(), message, bad);
     ASSERT_TRUE(job);
-    EXPECT_EQ(job->request.hint, std::chrono::microseconds(439055));
+    EXPECT_EQ(job->request.durationHint, std::chrono::microseconds(439055));
     EXPECT_EQ(job->request.slots, 2);
     EXPECT_EQ(job->request.memory, 0.452);
 }
--- a/tests/figures_test.cpp
+++ b/tests/figures_test.cpp
@@ -1,5 +1,5 @@
-// The figures on the operators' address against the books of clients and application servers, at every step
-// of random traffic with faults, on a clock of the test's own.
+// Compares the counters on the operators' address with those that the simulated clients and application
+// servers keep, after every step of random traffic with faults. The test has its own clock.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,7 +14,8 @@
 namespace {
 
 struct Figures : testing::Test {
-    // An application server's end of a connection: reads whole requests, answers some, breaks some.
+    // An application server's end of a connection. It reads complete requests, answers some and breaks
+    // others.
     struct Peer {
         std::shared_ptr<wire::Machine> machine;
         std::string name;
@@ -27,7 +28,7 @@
         }
         std::vector<Peer> made;
     };
-    // A client's connection that asks for one job.
+    // A client's connection, which submits one job.
     struct Client {
         std::shared_ptr<wire::Machine> machine;
         std::string id, klass;
@@ -44,10 +45,10 @@
             entries.push_back(entry);
             pool.learn(now, core.handleOf(name), name, name);
         }
-        core.farm(now, source, pool, RosterMode::whole, entries);
+        core.farm(now, source, pool, RosterMode::full, entries);
     }
-    std::uint64_t figure(const std::string& name) const {
-        const std::string text = figures(core), key = "router." + name + '=';
+    std::uint64_t counter(const std::string& name) const {
+        const std::string text = routerCounters(core), key = "router." + name + '=';
         const std::size_t at = text.find(key);
         EXPECT_NE(at, std::string::npos) << name;
         return std::stoull(text.substr(at + key.size()));
@@ -76,7 +77,8 @@
         client.machine = front.accept(now);
         client.id = "t" + std::to_string(clients.size());
         client.klass = random() % 3 ? "car-match" : "job-assign";
-        if (random() % 20 == 0 && !clients.empty()) client.id = clients.back().id;  // an id in use: refused
+        if (random() % 20 == 0 && !clients.empty())
+            client.id = clients.back().id;  // an id in use, which is refused
         given(*client.machine, now,
               "POST /" + client.klass + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + client.id +
                   "\r\nIdempotency-Key: k\r\nX-Expires-In-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
@@ -90,9 +92,9 @@
             client.parser.feed(bytes);
             if (!client.parser.complete()) continue;
             const int status = client.parser.take().status;
-            ++books[status == 200                    ? "succeeded." + client.klass
-                    : status == 503 || status == 429 ? "declined." + client.klass
-                                                     : "aborted." + client.klass];
+            ++expected[status == 200                    ? "succeeded." + client.klass
+                       : status == 503 || status == 429 ? "declined." + client.klass
+                                                        : "aborted." + client.klass];
             client.over = true;
             client.machine->ended(now, End::peerClosed);
         }
@@ -137,10 +139,10 @@
     std::optional<http::Message> count(http::Parser& parser) {
         if (!parser.complete()) return std::nullopt;
         http::Message message = parser.take();
-        whole += message.method == "POST";
+        requestsRead += message.method == "POST";
         return message;
     }
-    void callBack() {
+    void postCallback() {
         if (running.empty()) return;
         const std::size_t at = random() % running.size();
         const auto [id, from] = running[at];
@@ -150,17 +152,18 @@
         pool.callback(now, R"({"id":")" + id + R"(","from":")" + from + R"(","state":")" + state +
                                R"(","result":"r"})");
     }
-    void expectTrue() {
+    void expectCountersMatch() {
         std::uint64_t ended = left;
         for (const char* const klass : {"car-match", "job-assign"})
             for (const char* const how : {"succeeded.", "declined.", "aborted."}) {
-                EXPECT_EQ(figure(std::string(how) + klass), books[std::string(how) + klass]) << how << klass;
-                ended += figure(std::string(how) + klass);
+                EXPECT_EQ(counter(std::string(how) + klass), expected[std::string(how) + klass])
+                    << how << klass;
+                ended += counter(std::string(how) + klass);
             }
-        EXPECT_EQ(asked, ended + figure("outstanding"));
+        EXPECT_EQ(asked, ended + counter("outstanding"));
         EXPECT_EQ(core.counters().taken, asked);
-        EXPECT_EQ(figure("forwards"), whole);
-        EXPECT_EQ(figure("discovered"), 3u);
+        EXPECT_EQ(counter("forwards"), requestsRead);
+        EXPECT_EQ(counter("discovered"), 3u);
     }
 
     Time now{1'000'000'000'000};
@@ -174,15 +177,15 @@
     std::mt19937 random{7};
     std::vector<Client> clients;
     std::vector<std::pair<std::string, std::string>> running;
-    std::map<std::string, std::uint64_t> books;
-    std::uint64_t asked = 0, left = 0, whole = 0;
+    std::map<std::string, std::uint64_t> expected;
+    std::uint64_t asked = 0, left = 0, requestsRead = 0;
 };
 
 TEST_F(Figures, AgreeWithBothSidesBooksAtEveryStep) {
     for (int step = 0; step < 4000; ++step) {
         const auto what = random() % 8;
         if (what == 0) submit();
-        if (what == 1) callBack();
+        if (what == 1) postCallback();
         if (what == 2 && random() % 10 == 0 && !clients.empty()) {
             Client& client = clients[random() % clients.size()];
             readClients();
@@ -197,32 +200,33 @@
         if (step % 500 == 450) service.inService(now);
         stepServers();
         deadlines.sweep(now += 5ms);
-        stepServers();  // what the sweep began to write is read before the books are compared
+        stepServers();  // reads what the sweep began to write before counters are compared
         readClients();
-        expectTrue();
+        expectCountersMatch();
         if (HasFailure()) FAIL() << "step " << step;
     }
     for (const char* const how : {"succeeded.car-match", "succeeded.job-assign", "declined.car-match",
                                   "aborted.job-assign", "aborted.car-match"})
-        EXPECT_GT(books[how], 0u) << how;  // the traffic was such that each could be wrong
+        EXPECT_GT(expected[how], 0u) << how;  // each of these counters was exercised
     EXPECT_GT(left, 0u);
     service.end(now);
     core.giveUpAll(now);
     readClients();
-    expectTrue();
-    EXPECT_EQ(figure("outstanding"), 0u);
+    expectCountersMatch();
+    EXPECT_EQ(counter("outstanding"), 0u);
 }
 
-// The comparison can fail: one job counted that no client asked for, one attempt that no server read.
+// Checks that the comparison detects errors: it counts a job that no client sent and an attempt that no
+// server read.
 TEST_F(Figures, APlantedMiscountIsCaught) {
     submit();
     readClients();
-    expectTrue();
+    expectCountersMatch();
     core.turnedAway(0, true);
-    EXPECT_NE(figure("declined.car-match"), books["declined.car-match"]);
+    EXPECT_NE(counter("declined.car-match"), expected["declined.car-match"]);
     EXPECT_NE(core.counters().taken, asked);
     core.passWritten();
-    EXPECT_NE(figure("forwards"), whole);
+    EXPECT_NE(counter("forwards"), requestsRead);
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// What a fleet of dispatchers does together, on seeds fixed here.
+// Tests the joint behaviour of many dispatchers in a simulated world, with fixed seeds.
 #include <gtest/gtest.h>
 
 #include "fleet_world.hpp"
@@ -9,15 +9,15 @@
 Settings fleetSettings(std::uint32_t size) {
     Settings s;
     ClassSettings any;
-    any.goal = milliseconds(400), any.giveUp = seconds(8), any.stretch = 1.75;
+    any.targetLatency = milliseconds(400), any.clientTimeout = seconds(8), any.stretch = 1.75;
     ClassSettings bound = any;
     bound.kind = 0;
     s.classes = {any, bound};
-    s.fleetSize = size;
+    s.schedulerCount = size;
     s.kinds = 2;
     s.maxAttempts = 3;
     s.tick = milliseconds(4);
-    s.tellsStart = s.mayCancel = true;
+    s.workersReportStart = s.mayCancel = true;
     s.weights = Weights::nominal;
     return s;
 }
@@ -28,13 +28,13 @@
         out[i].entry.worker = static_cast<Worker>(i);
         out[i].entry.id = 77 + i;
         out[i].entry.kind = i < ofKind1 ? 1 : 0;
-        out[i].entry.units = 4;
+        out[i].entry.weight = 4;
     }
     return out;
 }
 
-// Guards against a hundred dispatchers that each hold next to nothing: by what each holds itself, a kind that
-// others depend on is then spared for ever, and the other kind drowns.
+// Each of a hundred dispatchers holds next to nothing. Counting only its own jobs, each would always spare a
+// kind that some class needs, and the other kind would be overloaded.
 TEST(Fleet, SparesAKindByWhatTheFleetHoldsThere) {
     for (const std::uint32_t size : {3u, 100u}) {
         World world(fleetSettings(size), farm(12, 6), 11);
@@ -49,8 +49,8 @@
     }
 }
 
-// Guards against waiting in one queue while other servers are free: own holdings tell a fleet of many nothing
-// of queues. Hardly any work is done twice for it.
+// With many dispatchers, the jobs that one of them holds say nothing about queues, so jobs wait at one server
+// while others are free. Copies avoid that; hardly any job runs twice.
 TEST(Fleet, AJobThatHasNotStartedGetsACopyAndTheFirstStartCallsTheOtherOff) {
     double wait[2];
     for (const bool copies : {false, true}) {
@@ -71,12 +71,12 @@
     EXPECT_LT(wait[1], 0.6 * wait[0]);
 }
 
-// Guards against one zone's queues growing while the other zone's servers stand idle: crossing has a price,
-// but a wait costs more.
+// The queues of one zone must not grow while servers of the other zone are idle: crossing has a cost, but
+// waiting costs more.
 TEST(Fleet, CrossesZonesWhereItsOwnIsStrained) {
     Settings s = fleetSettings(100);
-    s.zones = 2, s.crossZonePrice = 0.05, s.mayDuplicate = true;
-    for (const double busy : {0.4, 1.4}) {  // work in zone 1, in parts of what its servers do
+    s.zones = 2, s.crossZoneCost = 0.05, s.mayDuplicate = true;
+    for (const double busy : {0.4, 1.4}) {  // work in zone 1, as a share of its capacity
         std::vector<Server> servers = farm(12, 0);
         for (std::size_t i = 0; i < servers.size(); ++i) servers[i].entry.zone = static_cast<int>(i % 2);
         World world(s, servers, 13);
@@ -86,14 +86,14 @@
         world.run(end);
         const double home = world.share([](const Server& server) { return server.entry.zone == 1; });
         if (busy < 1) {
-            EXPECT_NEAR(home, 0.5, 0.03);  // no need, no crossing
+            EXPECT_NEAR(home, 0.5, 0.03);  // without need, no job crosses
         }
         EXPECT_LT(world.meanWait(), 0.35) << busy;
         EXPECT_LT(static_cast<double>(world.refused), 0.05 * static_cast<double>(world.served)) << busy;
     }
 }
 
-// Guards against refusing work that has servers to itself because work of another class waits.
+// Work with servers of its own must not be refused because work of another class waits.
 TEST(Fleet, RefusesWorkByItsOwnWaits) {
     Settings s = fleetSettings(100);
     s.mayDuplicate = true, s.classes[1].worth = 2;
@@ -106,15 +106,15 @@
     EXPECT_LT(world.refusedOf[0], 120u);  // of 1,700
 }
 
-// Guards on both sides: against a returned server that all take up at once, and against capacity left idle
-// because each dispatcher's part of what the server can bear is less than a job, or because a dispatcher
-// whose turn it is has no job just then.
+// Restarted servers must neither be overloaded by all dispatchers at once nor left idle. They can be left
+// idle because each dispatcher's part of the budget is less than a job, or because the dispatcher whose turn
+// it is has no job at that time.
 struct FleetOf : testing::TestWithParam<std::uint32_t> {};
 
 TEST_P(FleetOf, TakesUpReturnedServersAtThePaceTheyBear) {
     Settings s = fleetSettings(GetParam());
     s.mayDuplicate = true;
-    s.cold = seconds(20), s.coldFrom = 0.2, s.fallMultiple = 3, s.overloadFor = seconds(1);
+    s.warmup = seconds(20), s.initialCapacity = 0.2, s.coldBudgetMultiple = 3, s.coldBudgetSpan = seconds(1);
     World world(s, farm(16, 0), 15);
     const Time end = world.now + seconds(60), back = world.now + seconds(30);
     world.offer(80.0 / GetParam(), 0.4, 0, end);  // 32 of 64 slots
@@ -124,8 +124,8 @@
     constexpr std::size_t kReturned = 6;
     world.at(back, [&] {
         for (std::size_t i = 0; i < kReturned; ++i)
-            world.servers[i].entry.since = back, world.servers[i].arrivals.clear();
-        for (std::size_t n = 0; n < world.nodes.size(); ++n) world.tell(n, world.list(RosterMode::whole));
+            world.servers[i].entry.startedAt = back, world.servers[i].arrivals.clear();
+        for (std::size_t n = 0; n < world.nodes.size(); ++n) world.tell(n, world.list(RosterMode::full));
     });
     for (int i = 0; i < 200; ++i)
         world.at(back + milliseconds(100 * i), [&] {
@@ -138,7 +138,7 @@
         for (std::size_t a = 0; a < arrivals.size(); ++a) {
             if (arrivals[a].first > back + seconds(10)) break;
             if (arrivals[a].first > back + seconds(2)) sent += arrivals[a].second;
-            int jobs = 0;  // within any span, by the mean job: what a dispatcher can know
+            int jobs = 0;  // within any span, counted in mean jobs, which is all that a dispatcher knows
             for (std::size_t b = a; b < arrivals.size() && arrivals[b].first < arrivals[a].first + seconds(1);
                  ++b)
                 ++jobs;
@@ -146,20 +146,20 @@
         }
         capacity += 4 * (ramp(back + seconds(6))) * 8;
     }
-    EXPECT_GT(sent, 0.45 * capacity);  // nearly as the others are used
+    EXPECT_GT(sent, 0.45 * capacity);  // nearly the load of the other servers
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, FleetOf, testing::Values(3, 100, 300));
 
-// Guards against a mass start that asks for all lists together, repeats in step what failed, and sends all
+// Dispatchers that start together must not request the roster at the same time, retry in step, or send all
 // first jobs to one server.
 TEST(Fleet, AMassStartIsSpread) {
     Settings s = fleetSettings(100);
-    s.askRoster = true, s.askWithin = seconds(10);
+    s.rosterOnRequest = true, s.rosterRequestWindow = seconds(10);
     World world(s, farm(20, 0), 16);
     world.offer(0.5, 0.2, 0, world.now + seconds(2));
     world.run(world.now + seconds(2));
-    const auto most = [&world](std::size_t which) {  // asked in one span of 250 ms
+    const auto most = [&world](std::size_t which) {  // most requests for the roster within 250 ms
         std::map<std::int64_t, int> spans;
         for (const auto& node : world.nodes)
             if (node.subscribed.size() > which) ++spans[node.subscribed[which] / milliseconds(250)];
@@ -177,15 +177,15 @@
     for (const std::uint64_t count : world.sentTo) sent += count;
     EXPECT_GT(sent, 60u);
     EXPECT_LE(*std::max_element(world.sentTo.begin(), world.sentTo.end()), sent / 6);
-    for (std::size_t n = 0; n < world.nodes.size(); ++n)  // discovery fails all at one moment
+    for (std::size_t n = 0; n < world.nodes.size(); ++n)  // discovery fails for all at the same time
         world.tell(n, RosterUpdate{RosterMode::lost, {}});
     world.run(world.now + seconds(4));
     EXPECT_GT(most(1), 0);
     EXPECT_LE(most(1), 40);  // 100 over a second: half to three halves of the first wait
 }
 
-// Guards on both sides: against a dead server that a hundred dispatchers try in turn for ever, and against
-// their coming back to it in step.
+// A hundred dispatchers must neither keep trying a dead server one after another nor return to it at the same
+// time.
 TEST(Fleet, ADeadServerIsTriedSeldomAndNotInStep) {
     World world(fleetSettings(100), farm(20, 0), 17);
     const Time end = world.now + seconds(90);
@@ -196,7 +196,7 @@
     std::map<std::int64_t, int> perSecond;
     int late = 0;
     for (const auto& [when, work] : tries) late += when > end - seconds(30), ++perSecond[when / seconds(1)];
-    EXPECT_LT(late, 150 / 2);  // its part would be 150 in these 30 s
+    EXPECT_LT(late, 150 / 2);  // an even share would be 150 in these 30 s
     for (const auto& [second, count] : perSecond) EXPECT_LE(count, 15);
     EXPECT_GT(world.served, 8500u);
     EXPECT_LT(world.refused + world.failed, 90u);
--- a/tests/fleet_world.hpp
+++ b/tests/fleet_world.hpp
@@ -1,4 +1,5 @@
-// Many dispatchers against one small farm, on a clock of its own: what none of them does alone shows here.
+// A simulated world of many dispatchers and a few servers, with its own clock. It shows effects that arise
+// only from dispatchers together.
 #pragma once
 
 #include <deque>
@@ -30,7 +31,7 @@
     };
     std::deque<Held> waiting;
     std::vector<Held> running;
-    std::vector<std::pair<Time, double>> arrivals;  // with their work
+    std::vector<std::pair<Time, double>> arrivals;  // times of arrival, with the work in seconds
 };
 
 class World {
@@ -62,16 +63,16 @@
     World(const Settings& settings, std::vector<Server> farm, std::uint64_t seed)
         : servers(std::move(farm)), settings_(settings), random_(seed) {
         sentTo.resize(servers.size());
-        for (std::uint32_t me = 0; me < settings.fleetSize; ++me) {
+        for (std::uint32_t me = 0; me < settings.schedulerCount; ++me) {
             nodes.emplace_back();
             restart(me);
         }
     }
 
-    // As after a kill: empty knowledge and the list that was known.
+    // Restarts a dispatcher as after a kill: its state is empty, and it gets the roster known before.
     void restart(std::size_t me, RosterMode mode = RosterMode::stale) {
         Settings own = settings_;
-        own.me = static_cast<std::uint32_t>(me), own.zone = zoneOf(me);
+        own.schedulerIndex = static_cast<std::uint32_t>(me), own.zone = zoneOf(me);
         nodes[me] = Node();
         nodes[me].dispatcher = std::make_unique<Dispatcher>(own, random_());
         tell(me, list(mode));
@@ -84,8 +85,8 @@
         return update;
     }
 
-    // Jobs come to every node (of that zone, if one is given), `perSecond` at each, of exponential work of
-    // that mean, until `end`.
+    // Sends jobs to every node (of that zone, if one is given) until `end`: `perSecond` at each node, with
+    // exponentially distributed work of that mean, in seconds.
     void offer(double perSecond, double meanWork, std::uint32_t klass, Time end, int zone = -1) {
         for (std::size_t n = 0; n < nodes.size(); ++n)
             if (zone < 0 || zoneOf(n) == zone) arriveLater(n, perSecond, meanWork, klass, end);
@@ -124,7 +125,7 @@
     }
 
 private:
-    static constexpr Nanos kWay = std::chrono::microseconds(500);
+    static constexpr Nanos kNetworkDelay = std::chrono::microseconds(500);
     struct Entry {
         Time when;
         std::uint64_t order;
@@ -140,7 +141,7 @@
         at(when, [=, this] {
             RequestArrived r;
             r.id = nodes[n].next++, r.klass = klass;
-            r.timeLeft = settings_.classes[klass].giveUp;
+            r.timeLeft = settings_.classes[klass].clientTimeout;
             nodes[n].jobs[r.id] = {now, exponential(work), klass, false};
             tell(n, r);
             arriveLater(n, rate, work, klass, end);
@@ -152,11 +153,11 @@
         if (out == nodes[n].out.end()) return;
         AttemptEnded e;
         e.id = id, e.attempt = attempt, e.outcome = how;
-        e.took = now - out->second.second;
+        e.duration = now - out->second.second;
         nodes[n].out.erase(out);
         Job& job = nodes[n].jobs[id];
         if (how == Outcome::ok && !job.ended) job.ended = true, ++served;
-        e.settled = job.ended;
+        e.requestFinished = job.ended;
         tell(n, e);
     }
 
@@ -169,7 +170,7 @@
             ++sentTo[to];
             ++sentByKind[{node.jobs[a->id].klass, servers[to].entry.kind}];
             const RequestId id = a->id;
-            at(now + kWay, [=, this] { reach(n, to, id, attempt); });
+            at(now + kNetworkDelay, [=, this] { reach(n, to, id, attempt); });
         } else if (const auto* c = std::get_if<Cancel>(&action)) {
             ++cancels;
             const auto out = node.out.find({c->id, c->attempt});
@@ -178,7 +179,7 @@
             const Server::Held held{n, c->id, c->attempt, 0};
             const auto id = c->id;
             const auto attempt = c->attempt;
-            at(now + kWay, [=, this] { drop(to, held); });
+            at(now + kNetworkDelay, [=, this] { drop(to, held); });
             at(now, [=, this] { end(n, id, attempt, Outcome::cancelled); });
         } else if (const auto* r = std::get_if<Refuse>(&action)) {
             if (!std::exchange(node.jobs[r->id].ended, true)) ++refused, ++refusedOf[node.jobs[r->id].klass];
@@ -198,7 +199,7 @@
     void reach(std::size_t n, std::size_t to, RequestId id, std::uint32_t attempt) {
         Server& s = servers[to];
         s.arrivals.emplace_back(now, nodes[n].jobs[id].work);
-        if (!s.up) return at(now + kWay, [=, this] { end(n, id, attempt, Outcome::connectFailed); });
+        if (!s.up) return at(now + kNetworkDelay, [=, this] { end(n, id, attempt, Outcome::connectFailed); });
         s.waiting.push_back({n, id, attempt, nodes[n].jobs[id].work});
         serve(to);
     }
@@ -216,16 +217,16 @@
             const Server::Held held = s.waiting.front();
             s.waiting.pop_front();
             s.running.push_back(held);
-            at(now + kWay, [=, this] {
+            at(now + kNetworkDelay, [=, this] {
                 if (!nodes[held.node].out.contains({held.id, held.attempt})) return;
                 waits.push_back(
                     std::chrono::duration<double>(now - nodes[held.node].jobs[held.id].arrived).count());
-                tell(held.node, AttemptNote{held.id, held.attempt, true, 0});
+                tell(held.node, AttemptProgress{held.id, held.attempt, true, 0});
             });
             at(now + Nanos(static_cast<std::int64_t>(held.work / s.speed * 1e9)), [=, this] {
                 if (std::erase(servers[to].running, held) == 0) return;
                 serve(to);
-                at(now + kWay, [=, this] { end(held.node, held.id, held.attempt, Outcome::ok); });
+                at(now + kNetworkDelay, [=, this] { end(held.node, held.id, held.attempt, Outcome::ok); });
             });
         }
     }
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -35,12 +35,12 @@
         held.emplace_back();
         pool_.learn(now, core.handleOf(servers_.back()->name), servers_.back()->name,
                     port(servers_.back()->listener));
-        list(servers_.size() - 1, Standing::on);
+        list(servers_.size() - 1, WorkerStatus::on);
         return servers_.size() - 1;
     }
-    void drain(std::size_t server) override { list(server, Standing::draining); }
+    void drain(std::size_t server) override { list(server, WorkerStatus::draining); }
     void vanish(std::size_t server) override {
-        list(server, Standing::off);
+        list(server, WorkerStatus::off);
         for (const std::string& id : std::exchange(servers_[server]->running, {}))
             call(server, id, "lost", "");
         EXPECT_TRUE(until([&] { return calls_ == 0; }));
@@ -118,12 +118,12 @@
                     "\r\n\r\n" + body);
         net::Link::connect(loop, caller, listener_.address());
     }
-    void list(std::size_t server, Standing standing) {
+    void list(std::size_t server, WorkerStatus standing) {
         FarmEntry entry;
         entry.name = servers_[server]->name;
-        entry.entry.standing = standing;
+        entry.entry.status = standing;
         entry.entry.cell = static_cast<int>(server);
-        core.farm(now, source_, pool_, RosterMode::changes, {entry});
+        core.farm(now, source_, pool_, RosterMode::incremental, {entry});
     }
 
     int calls_ = 0;
@@ -233,7 +233,7 @@
     gearman::Config config() const {
         gearman::Config c;
         for (const auto& klass : core.site().module.classes)
-            c.functions.push_back({klass.giveUp, klass.giveUp, 1});
+            c.functions.push_back({klass.clientTimeout, klass.clientTimeout, 1});
         return c;
     }
     gearman::Front front_{core, loop.deadlines(), config()};
--- a/tests/gearman_test.cpp
+++ b/tests/gearman_test.cpp
@@ -44,10 +44,10 @@
     s.classes = {"car-match", "job-assign"};
     s.tenants = {"maritsa-taxi", "trakia-coop"};
     s.module.classes.resize(2);
-    for (auto& klass : s.module.classes) klass.goal = 400ms, klass.giveUp = 5s;
+    for (auto& klass : s.module.classes) klass.targetLatency = 400ms, klass.clientTimeout = 5s;
     s.module.tenants.resize(2);
-    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.tellsStart = true,
-    s.module.retryAdvice = true;
+    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.workersReportStart = true,
+    s.module.mayAdviseRetry = true;
     s.module.maxRetryAfter = 2s, s.module.tick = 4ms;
     return s;
 }
--- a/tests/grpc_run_test.cpp
+++ b/tests/grpc_run_test.cpp
@@ -48,7 +48,7 @@
         settings::Site s = site();
         s.classes.push_back("charge");
         s.module.classes.push_back(s.module.classes[1]);
-        s.module.classes[2].effect = heronmount::Effect::unsafe;
+        s.module.classes[2].idempotency = heronmount::Idempotency::unsafe;
         settings::addWire(s);
         return s;
     }
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -14,8 +14,8 @@
 namespace amberswitch::grpc {
 namespace {
 
-using heronmount::Effect;
-using heronmount::Group;
+using heronmount::DedupScope;
+using heronmount::Idempotency;
 using standins::GrpcClient;
 using standins::GrpcServer;
 using standins::Part;
@@ -67,12 +67,12 @@
                       json = R"(JSON {"inflight":7,"queue":2,"util":0.61})", odd = "BIN abc";
     for (const std::string* form : {&text, &json}) {
         const LoadReport load = readLoad(form);
-        EXPECT_EQ(load.held, 7);
+        EXPECT_EQ(load.inFlight, 7);
         EXPECT_EQ(load.queued, 2);
         EXPECT_EQ(load.busy, 0.61);
     }
-    EXPECT_EQ(readLoad(&odd).held, -1);
-    EXPECT_EQ(readLoad(nullptr).held, -1);
+    EXPECT_EQ(readLoad(&odd).inFlight, -1);
+    EXPECT_EQ(readLoad(nullptr).inFlight, -1);
 }
 
 // --- the world ---
@@ -81,7 +81,7 @@
         settings::Site s = site();
         s.classes.push_back("charge");
         s.module.classes.push_back(s.module.classes[1]);
-        s.module.classes[2].effect = Effect::unsafe;
+        s.module.classes[2].idempotency = Idempotency::unsafe;
         s.tenants = {"maritsa-taxi"};
         s.module.tenants.resize(1);
         settings::addWire(s);
@@ -330,7 +330,7 @@
     FarmSource source;
     FarmEntry entry;
     entry.name = "http-1";
-    core.farm(now, source, others, RosterMode::whole, {entry});
+    core.farm(now, source, others, RosterMode::full, {entry});
     GrpcClient& c = client();
     c.call(now, {});
     EXPECT_TRUE(until([&] { return core.counters().taken == 1; }));
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -18,7 +18,7 @@
     s.zones = {"sofia-1", "sofia-2"};
     s.kinds = {"std-4"};
     s.module.classes.resize(2);
-    for (auto& klass : s.module.classes) klass.giveUp = 5s;
+    for (auto& klass : s.module.classes) klass.clientTimeout = 5s;
     return s;
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -11,9 +11,9 @@
 namespace amberswitch::placement {
 namespace {
 
-using heronmount::Effect;
+using heronmount::Idempotency;
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 using namespace std::chrono_literals;
 
 settings::Site site() {
@@ -23,11 +23,12 @@
     s.zones = {"sofia", "plovdiv", "ruse"};
     s.kinds = {"std-4", "slow-4"};
     s.module.classes.resize(2);
-    for (auto& klass : s.module.classes) klass.goal = 400ms, klass.giveUp = 5s;
+    for (auto& klass : s.module.classes) klass.targetLatency = 400ms, klass.clientTimeout = 5s;
     s.module.tenants.resize(2);
     s.module.zones = 3, s.module.kinds = 2;
-    s.module.maxAttempts = 3, s.module.mayCancel = s.module.mayDuplicate = true, s.module.tellsStart = true;
-    s.module.retryAdvice = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms;
+    s.module.maxAttempts = 3, s.module.mayCancel = s.module.mayDuplicate = true,
+    s.module.workersReportStart = true;
+    s.module.mayAdviseRetry = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms;
     return s;
 }
 
@@ -156,10 +157,11 @@
     std::vector<ProxyPass> started;
 };
 
-FarmEntry at(const std::string& name, int zone, Standing standing = Standing::on, Time since = Time(0)) {
+FarmEntry at(const std::string& name, int zone, WorkerStatus status = WorkerStatus::on,
+             Time since = Time(0)) {
     FarmEntry e;
     e.name = name;
-    e.entry.zone = zone, e.entry.standing = standing, e.entry.since = since;
+    e.entry.zone = zone, e.entry.status = status, e.entry.startedAt = since;
     return e;
 }
 
@@ -208,7 +210,7 @@
 };
 
 TEST_F(Placed, EachKindOfWorkGoesWhereItMay) {
-    list(RosterMode::whole, all);
+    list(RosterMode::full, all);
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
     EXPECT_EQ(places(kMaritsa, kAssign), (std::set<std::string>{"s"}));  // home has room
     EXPECT_EQ(places(kTrakia, kMatch), (std::set<std::string>{"s"}));    // r may be in a forbidden place
@@ -222,8 +224,8 @@
 TEST_F(Placed, RefusedForWantOfHomeAtOnceAndOnlyThat) {
     const auto early = ask(kMaritsa, kMatch);  // no list yet
     EXPECT_EQ(early->last, "unavailable");
-    list(RosterMode::whole, all);
-    list(RosterMode::changes, {at("s", 0, Standing::draining)});
+    list(RosterMode::full, all);
+    list(RosterMode::incremental, {at("s", 0, WorkerStatus::draining)});
     for (int i = 0; i < 300; ++i) {
         const auto client = ask(kMaritsa, kMatch);
         EXPECT_EQ(client->last, "unavailable");
@@ -239,7 +241,7 @@
 
 // A full home is no reason for others' work to be refused, nor for home's own to go elsewhere.
 TEST_F(Placed, AFullHomeStaysHomes) {
-    list(RosterMode::whole, all);
+    list(RosterMode::full, all);
     std::set<std::string> others;
     std::size_t refused = 0;
     for (int i = 0; i < 400; ++i) {
@@ -263,8 +265,8 @@
 }
 
 TEST_F(Placed, GoesElsewhereOnlyOutOfTheAllowanceAndNeverWhereItMustNot) {
-    list(RosterMode::whole, {at("p", 1), at("r", 2), at("x", 2), at("s2", 0)});
-    list(RosterMode::changes, {at("s2", 0, Standing::off)});
+    list(RosterMode::full, {at("p", 1), at("r", 2), at("x", 2), at("s2", 0)});
+    list(RosterMode::incremental, {at("s2", 0, WorkerStatus::off)});
     EXPECT_EQ(ask(kMaritsa, kAssign)->last, "unavailable");  // a start begins with an empty purse
     now += 7s;
     // Not p and x, which are in ro, and not r, which may be: nothing is left, and nothing is spent for it.
@@ -281,7 +283,7 @@
                  return read(open).placement;
              }(),
              Time(1000s)};
-    own.farm(now, fleet, fleet, RosterMode::whole, {at("p", 1), at("r", 2)});
+    own.farm(now, fleet, fleet, RosterMode::full, {at("p", 1), at("r", 2)});
     now += 7s;
     int served = 0, refused = 0;
     for (int i = 0; i < 60; ++i) {  // six seconds
@@ -307,7 +309,7 @@
     std::string open = kDocument;
     open.erase(open.find(R"("never":["ro"],"spill")"), 15);
     Core own{wide, 5, deadlines, read(open).placement, Time(1000s)};
-    own.farm(now, fleet, fleet, RosterMode::whole, {at("s", 0), at("p", 1)});
+    own.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 1)});
     now += 7s;
     auto client = std::make_shared<Client>();
     Arrival arrival;
@@ -328,25 +330,25 @@
 
 // Fail closed: an unknown place, a label that changed under a running server.
 TEST_F(Placed, ALabelThatChangesCountsForNothingUntilTheServerStartsAnew) {
-    list(RosterMode::whole, {at("s", 0), at("p", 1), at("r", 9)});
+    list(RosterMode::full, {at("s", 0), at("p", 1), at("r", 9)});
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
-    list(RosterMode::changes, {at("p", 0)});  // it says it is at home now
+    list(RosterMode::incremental, {at("p", 0)});  // it says it is at home now
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
-    list(RosterMode::changes, {at("s", 1)});  // and home says it is elsewhere
+    list(RosterMode::incremental, {at("s", 1)});  // and home says it is elsewhere
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
-    list(RosterMode::changes, {at("s", 0)});  // and back: which of the two was true
+    list(RosterMode::incremental, {at("s", 0)});  // and back: which of the two was true
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
     EXPECT_EQ(core.placement().counters().moved, 2u);
-    list(RosterMode::changes, {at("s", 0, Standing::on, Time(900s))});
+    list(RosterMode::incremental, {at("s", 0, WorkerStatus::on, Time(900s))});
     now += 60s;
-    list(RosterMode::changes, {});
+    list(RosterMode::incremental, {});
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
 }
 
 TEST_F(Placed, WhoIsGoneWithoutALabelComesBackAsWhatItWas) {
-    list(RosterMode::whole, all);
-    list(RosterMode::changes, {at("s", 3, Standing::off)});
-    list(RosterMode::changes, {at("s", 0)});
+    list(RosterMode::full, all);
+    list(RosterMode::incremental, {at("s", 3, WorkerStatus::off)});
+    list(RosterMode::incremental, {at("s", 0)});
     EXPECT_EQ(core.placement().counters().moved, 0u);
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
 }
@@ -356,7 +358,7 @@
 TEST_F(Placed, WhoseZoneIsOnlyTakenToBeNearIsNowhere) {
     FarmEntry near = at("r", 0);
     near.placed = false;
-    list(RosterMode::whole, {near});
+    list(RosterMode::full, {near});
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
     EXPECT_EQ(places(kTrakia, kAssign), (std::set<std::string>{"r"}));
     EXPECT_EQ(places(kTrakia, kMatch), (std::set<std::string>{}));  // it may be where this work must not go
@@ -364,18 +366,18 @@
 
 // A process that comes after knows the label that was there first.
 TEST_F(Placed, StandingsOutliveTheProcess) {
-    list(RosterMode::whole, {at("s", 0), at("p", 1)});
-    list(RosterMode::changes, {at("s", 1)});
+    list(RosterMode::full, {at("s", 0), at("p", 1)});
+    list(RosterMode::incremental, {at("s", 1)});
     Core next{site(), 6, deadlines, read(kDocument).placement, now};
     next.placement().recall(core.placement().standings());
     int told = 0;
     next.setStandingsChanged([&told](Time) { ++told; });
-    next.farm(now, fleet, fleet, RosterMode::whole, {at("s", 0), at("p", 0), at("x", 2)});
+    next.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
     EXPECT_EQ(next.placement().listed(now, next.handleOf("s"), "s", 0, Time(0)).why, Why::moved);
     EXPECT_EQ(next.placement().listed(now, next.handleOf("p"), "p", 0, Time(0)).why, Why::moved);
     EXPECT_EQ(next.placement().listed(now, next.handleOf("x"), "x", 2, Time(0)).why, Why::known);
     EXPECT_EQ(told, 1);
-    next.farm(now, fleet, fleet, RosterMode::whole, {at("s", 0), at("p", 0), at("x", 2)});
+    next.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
     EXPECT_EQ(told, 1);  // nothing new
     EXPECT_THROW(next.placement().recall("s\tzero\n"), settings::BadField);
 }
@@ -401,7 +403,8 @@
                 label[name] = {zone, since}, moved.erase(name);
             else if (known->second.first != zone)
                 moved.insert(name);
-            list(RosterMode::changes, {at(name, zone, draw(5) ? Standing::on : Standing::draining, since)});
+            list(RosterMode::incremental,
+                 {at(name, zone, draw(5) ? WorkerStatus::on : WorkerStatus::draining, since)});
         }
         const std::size_t before = fleet.started.size();
         const int tenant = draw(2);
