--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,3 +1,4 @@
+// Tests the decisions of a single Dispatcher, driven event by event.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,19 +13,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Settings plainSettings(Effect effect = Effect::safe, Group group = Group::all) {
+Settings plainSettings(Idempotency effect = Idempotency::safe, DedupScope group = DedupScope::all) {
     Settings s;
     ClassSettings c;
-    c.goal = milliseconds(300);
-    c.giveUp = seconds(5);
-    c.window = seconds(4);
-    c.effect = effect;
-    c.group = group;
+    c.targetLatency = milliseconds(300);
+    c.clientTimeout = seconds(5);
+    c.dedupWindow = seconds(4);
+    c.idempotency = effect;
+    c.dedupScope = group;
     c.stretch = 2;
     s.classes = {c};
     s.maxAttempts = 3;
     s.tick = milliseconds(5);
-    s.tellsStart = true;
+    s.workersReportStart = true;
     return s;
 }
 
@@ -32,13 +33,13 @@
     RosterEntry e;
     e.worker = handle;
     e.id = 1000 + handle;
-    e.units = units;
+    e.weight = units;
     e.cell = cell;
     e.zone = zone;
     return e;
 }
 
-// Drives one dispatcher by hand and remembers what it asked for.
+// Passes events to one dispatcher and keeps the actions of the last event.
 struct Drive {
     Dispatcher dispatcher;
     Time now = seconds(100);
@@ -59,7 +60,7 @@
             if (const auto* match = std::get_if<A>(&a)) found.push_back(*match);
         return found;
     }
-    void roster(std::vector<RosterEntry> entries, RosterMode mode = RosterMode::whole) {
+    void roster(std::vector<RosterEntry> entries, RosterMode mode = RosterMode::full) {
         on(RosterUpdate{mode, std::move(entries)});
     }
     void fleet(Worker count) {  // that many plain workers
@@ -72,7 +73,7 @@
         r.id = next++;
         r.klass = klass;
         r.timeLeft = timeLeft;
-        r.hint = hint;
+        r.durationHint = hint;
         on(r);
         return r.id;
     }
@@ -86,20 +87,20 @@
         e.id = id;
         e.attempt = attempt;
         e.outcome = outcome;
-        e.settled = settled || outcome == Outcome::ok;
+        e.requestFinished = settled || outcome == Outcome::ok;
         on(e);
     }
-    // One job from arrival to its answer after `took`; returns its worker.
+    // Runs one job from its arrival to its answer, with a job time of `took`. Returns its worker.
     Worker serve(Nanos took) {
         const RequestId id = arrive();
         const Worker w = sentTo();
-        on(AttemptNote{id, 0, true, 0});
+        on(AttemptProgress{id, 0, true, 0});
         now += took;
         end(id, Outcome::ok);
         return w;
     }
     void fire(std::uint64_t kind, RequestId id) { on(TimerFired{(kind << 52) | id}); }
-    // Fires every timer asked for with the last event, in turn, each at its time.
+    // Fires every timer that the last event has set, one after another, each after its delay.
     bool expireTimers() {
         const auto timers = all<SetTimer>();
         for (const auto& t : timers) {
@@ -127,12 +128,13 @@
     Settings s = plainSettings();
     s.weights = Weights::nominal;
     Drive d(s);
-    d.roster({worker(0, 1), worker(1, 3)});  // worker 1 is three times the other
+    d.roster({worker(0, 1), worker(1, 3)});  // worker 1 has three times the weight
     std::string pattern;
     for (int i = 0; i < 40; ++i) pattern += d.serve(milliseconds(100)) == 0 ? '1' : '2';
     const std::size_t slow = static_cast<std::size_t>(std::count(pattern.begin(), pattern.end(), '1'));
-    EXPECT_EQ(pattern.find("11"), std::string::npos) << pattern;  // Theorem 3.2: 12...2, never two slow ones
-    EXPECT_GE(slow, 9u) << pattern;                               // and every server is used for ever (3.1)
+    EXPECT_EQ(pattern.find("11"), std::string::npos)
+        << pattern;                  // Theorem 3.2: 12...2, the slow one never twice in a row
+    EXPECT_GE(slow, 9u) << pattern;  // Theorem 3.1: every server keeps being used
     EXPECT_LE(slow, 14u) << pattern;
 }
 
@@ -142,11 +144,11 @@
         Drive d(plainSettings(), seed);
         d.fleet(10);
         for (int i = 0; i < 20; ++i) d.serve(milliseconds(10));
-        d.roster({worker(10)}, RosterMode::changes);
+        d.roster({worker(10)}, RosterMode::incremental);
         d.arrive();
         drawn += d.sentTo() == 10;
     }
-    EXPECT_LT(drawn, 15);  // of 40 schedulers; all of them without a seeded age
+    EXPECT_LT(drawn, 15);  // of 40 schedulers; without a random initial age it would be all
 }
 
 TEST(Pick, SchedulersStartTheirRotationApart) {
@@ -166,10 +168,11 @@
     d.roster({worker(0), worker(1)});
     d.arrive();
     const Worker first = d.sentTo();
-    for (int i = 0; i < 3; ++i) {  // the other one starts and ends its jobs at once, the first stays silent
+    for (int i = 0; i < 3;
+         ++i) {  // the other worker starts and ends its jobs at once, the first reports nothing
         const RequestId id = d.arrive();
         EXPECT_NE(d.sentTo(), first);
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
         d.now += milliseconds(20);
         d.end(id, Outcome::ok);
     }
@@ -182,7 +185,7 @@
     const auto hinted = [&d](Nanos hint) {
         const RequestId id = d.arrive(seconds(5), 0, hint);
         const Worker w = d.sentTo();
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
         if (hint < seconds(2)) d.end(id, Outcome::ok);
         return w;
     };
@@ -190,25 +193,25 @@
     for (int i = 0; i < 3; ++i) EXPECT_NE(hinted(milliseconds(1000)), big) << "small job " << i;
 }
 
-// Guards against jobs that wait behind a big one though another worker holds less.
+// A job must not wait behind a big one while another worker holds less.
 TEST(Pick, SlotsAndMemoryHeldCountRatherThanJobs) {
-    for (const bool memory : {false, true}) {  // a worker has a unit of memory for each slot
+    for (const bool memory : {false, true}) {  // a worker has one unit of memory for each slot
         Drive d(plainSettings());
         d.roster({worker(0), worker(1)});
         RequestArrived big;
         big.id = d.next++, big.timeLeft = seconds(5), (memory ? big.memory : big.slots) = 4;
         d.on(big);
         const Worker loaded = d.sentTo();
-        d.on(AttemptNote{big.id, 0, true, 0});
+        d.on(AttemptProgress{big.id, 0, true, 0});
         for (int i = 0; i < 3; ++i) {
             const RequestId id = d.arrive();
             EXPECT_NE(d.sentTo(), loaded) << memory << ' ' << i;
-            d.on(AttemptNote{id, 0, true, 0});
+            d.on(AttemptProgress{id, 0, true, 0});
         }
     }
 }
 
-// Guards against work that only one kind can do finding that kind taken by work that any could do.
+// Work that needs one kind must not find that kind occupied by work that any kind can do.
 TEST(Pick, AKindThatAClassDependsOnIsSparedByTheOthers) {
     Settings s = plainSettings();
     s.classes.push_back(s.classes[0]);
@@ -219,23 +222,23 @@
     entries[2].kind = entries[3].kind = 1;
     d.roster(entries);
     for (int i = 0; i < 6; ++i) EXPECT_GE(d.serve(milliseconds(100)), 2u) << i;
-    for (int i = 0; i < 4; ++i) {  // at one slot more the others are even with it
+    for (int i = 0; i < 4; ++i) {  // with one slot more, the other kind is at the same level
         const RequestId id = d.arrive();
         EXPECT_GE(d.sentTo(), i < 2 ? 2u : 0u);
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
     }
     d.arrive(seconds(5), 1);
     EXPECT_LT(d.sentTo(), 2u);
 }
 
-// Guards against a worker that became slow holding as many jobs as its peers.
+// A worker that has become slow must not hold as many jobs as its peers.
 TEST(Pick, AWorkerThatBecameSlowHoldsLess) {
     Drive d(plainSettings());
     d.fleet(6);
     for (int i = 0; i < 180; ++i) {
         const RequestId id = d.arrive();
         const Worker w = d.sentTo();
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
         d.now += milliseconds(w == 0 ? 1200 : 300);
         d.end(id, Outcome::ok);
     }
@@ -243,7 +246,7 @@
     for (int i = 0; i < 36; ++i) {
         const RequestId id = d.arrive();
         ++held[d.sentTo()];
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
     }
     EXPECT_LT(held[0] + 1, held[1]);
 }
@@ -251,7 +254,7 @@
 TEST(Pick, AJobStaysInItsZoneWhereCrossingHasAPrice) {
     for (const double price : {0.0, 0.05}) {
         Settings s = plainSettings();
-        s.zones = 2, s.zone = 1, s.crossZonePrice = price;
+        s.zones = 2, s.zone = 1, s.crossZoneCost = price;
         Drive d(s);
         d.roster({worker(0, 1, 0, 0), worker(1, 1, 0, 0), worker(2, 1, 0, 1), worker(3, 1, 0, 1)});
         int away = 0;
@@ -265,20 +268,20 @@
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Drive d(plainSettings(), seed);
         d.fleet(30);
-        for (int i = 0; i < 60; ++i) {  // key 5 among many others
+        for (int i = 0; i < 60; ++i) {  // one job in ten has key 5, all others have keys of their own
             RequestArrived r;
             r.id = d.next++;
             r.timeLeft = seconds(5);
-            r.hasKey = true;
-            r.key = i % 10 == 9 ? 5 : 100 + static_cast<std::uint64_t>(i);
+            r.hasAffinityKey = true;
+            r.affinityKey = i % 10 == 9 ? 5 : 100 + static_cast<std::uint64_t>(i);
             d.on(r);
-            if (r.key == 5) ++used[d.sentTo()];
-            d.on(AttemptNote{r.id, 0, true, 0});
+            if (r.affinityKey == 5) ++used[d.sentTo()];
+            d.on(AttemptProgress{r.id, 0, true, 0});
             d.now += milliseconds(20);
             d.end(r.id, Outcome::ok);
         }
     }
-    EXPECT_LE(used.size(), 16u);  // 120 jobs of a key with a tenth of the traffic; 30 workers without homes
+    EXPECT_LE(used.size(), 16u);  // of 30 workers, for 120 jobs of a key with a tenth of the traffic
 }
 
 TEST(Learning, SlowWorkersGetFewerTurns) {
@@ -289,7 +292,7 @@
         const RequestId id = d.arrive();
         const Worker w = d.sentTo();
         if (i >= 200) ++turns[w];
-        d.on(AttemptNote{id, 0, true, 0});
+        d.on(AttemptProgress{id, 0, true, 0});
         d.now += w == 0 ? milliseconds(400) : milliseconds(100);
         d.end(id, Outcome::ok);
     }
@@ -301,7 +304,7 @@
 // --- attempts and final answers ---
 
 TEST(Answers, AProvedMissIsSentAgainAndLastlyRefused) {
-    Drive d(plainSettings(Effect::unsafe));
+    Drive d(plainSettings(Idempotency::unsafe));
     d.roster({worker(0), worker(1), worker(2)});
     const RequestId id = d.arrive();
     const Worker first = d.sentTo();
@@ -317,7 +320,7 @@
 
 TEST(Answers, AnUnsafeJobThatMayHaveRunFails) {
     for (const Outcome o : {Outcome::error, Outcome::reset, Outcome::timeout, Outcome::cancelled}) {
-        Drive d(plainSettings(Effect::unsafe));
+        Drive d(plainSettings(Idempotency::unsafe));
         d.roster({worker(0), worker(1)});
         const RequestId id = d.arrive();
         d.end(id, o);
@@ -328,7 +331,7 @@
 }
 
 TEST(Answers, AKeyedJobThatMayHaveRunStaysInItsCellAndWindow) {
-    Drive d(plainSettings(Effect::keyed, Group::cell));
+    Drive d(plainSettings(Idempotency::keyed, DedupScope::cell));
     d.roster({worker(0, 1, 1), worker(1, 1, 1), worker(2, 1, 2), worker(3, 1, 2)});
     for (int i = 0; i < 20; ++i) {
         const RequestId id = d.arrive();
@@ -343,7 +346,7 @@
     d.now += milliseconds(3995);  // the window is 4 s
     d.end(late, Outcome::reset);
     EXPECT_TRUE(d.all<Send>().empty());
-    EXPECT_EQ(d.all<Fail>().size(), 1u);  // no send is legal any more: it is answered at once
+    EXPECT_EQ(d.all<Fail>().size(), 1u);  // no further send is allowed, so it is answered at once
     EXPECT_TRUE(d.all<Refuse>().empty());
     d.now += milliseconds(1000);
     d.fire(0, late);  // its deadline
@@ -351,7 +354,7 @@
 }
 
 TEST(Answers, AKeyedJobOfTheWholeGroupMayBeRefusedAfterItMayHaveRun) {
-    Settings s = plainSettings(Effect::keyed, Group::all);
+    Settings s = plainSettings(Idempotency::keyed, DedupScope::all);
     s.maxAttempts = 1;
     Drive d(s);
     d.roster({worker(0)});
@@ -377,7 +380,7 @@
     EXPECT_LE(d.now - begun, milliseconds(400));
     d.roster({worker(0)});
     d.fire(2, id);
-    EXPECT_TRUE(d.actions.empty());  // nothing is sent for it any more
+    EXPECT_TRUE(d.actions.empty());  // it is answered, so nothing is sent
 }
 
 TEST(Answers, AHeldRequestGoesOutWhenAWorkerComes) {
@@ -385,7 +388,7 @@
     d.roster({});
     const RequestId id = d.arrive();
     EXPECT_TRUE(d.all<Send>().empty());
-    d.roster({worker(4)}, RosterMode::changes);
+    d.roster({worker(4)}, RosterMode::incremental);
     d.now += milliseconds(50);
     d.fire(2, id);
     EXPECT_EQ(d.sentTo(), 4u);
@@ -399,7 +402,7 @@
     d.end(id, Outcome::ok);
     d.end(id, Outcome::reset, 5);
     d.on(ClientLeft{id});
-    d.on(AttemptNote{999, 0, true, 0});
+    d.on(AttemptProgress{999, 0, true, 0});
     d.on(StreamStarted{999, 3});
     d.fire(0, id);
     d.fire(1, id);
@@ -431,12 +434,12 @@
 
 TEST(Answers, NoTwoAttemptsAtOnceWhereTheSiteForbidsIt) {
     Settings s = plainSettings();
-    s.progress = seconds(1);
+    s.progressInterval = seconds(1);
     Drive d(s);
     d.roster({worker(0), worker(1)});
     const RequestId id = d.arrive();
-    d.on(AttemptNote{id, 0, true, 0});
-    d.now += seconds(4);  // its progress notes have lapsed
+    d.on(AttemptProgress{id, 0, true, 0});
+    d.now += seconds(4);  // its progress notes are overdue
     d.fire(1, id);
     EXPECT_TRUE(d.all<Send>().empty());
 }
@@ -447,20 +450,20 @@
     Drive d(plainSettings());
     d.roster({worker(0), worker(1), worker(2), worker(3)});
     RosterEntry draining = worker(0), gone = worker(1);
-    draining.standing = Standing::draining;
-    gone.standing = Standing::off;
-    d.roster({draining, gone}, RosterMode::changes);
+    draining.status = WorkerStatus::draining;
+    gone.status = WorkerStatus::off;
+    d.roster({draining, gone}, RosterMode::incremental);
     for (int i = 0; i < 12; ++i) EXPECT_GE(d.serve(milliseconds(10)), 2u);
-    d.roster({worker(3)});  // a whole list: what is not in it is gone
+    d.roster({worker(3)});  // a full list: workers that are not in it are gone
     for (int i = 0; i < 5; ++i) EXPECT_EQ(d.serve(milliseconds(10)), 3u);
-    d.on(RosterUpdate{RosterMode::lost, {}});  // the list stays in force
+    d.on(RosterUpdate{RosterMode::lost, {}});  // the last list stays valid
     EXPECT_EQ(d.serve(milliseconds(10)), 3u);
 }
 
 TEST(Roster, AsksOnceAndAgainWithGrowingWaitsAfterFailures) {
     Settings s = plainSettings();
-    s.askRoster = true;
-    s.askWithin = seconds(10);
+    s.rosterOnRequest = true;
+    s.rosterRequestWindow = seconds(10);
     Drive d(s);
     d.roster({worker(0)}, RosterMode::stale);
     ASSERT_EQ(d.all<SetTimer>().size(), 1u);
@@ -498,7 +501,7 @@
 TEST(Health, TellsHowManyAreAvoided) {
     Drive drive(plainSettings());
     drive.fleet(8);
-    EXPECT_EQ(drive.dispatcher.avoided(), 0u);
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 0u);
     drive.arrive();
     const Worker away = drive.all<Send>().at(0).worker;
     const auto missed = [](RequestId id) {
@@ -507,23 +510,23 @@
         return e;
     };
     drive.on(missed(1));
-    EXPECT_EQ(drive.dispatcher.avoided(), 1u);
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 1u);
     AttemptEnded served;
-    served.id = 1, served.attempt = 1, served.settled = true;
+    served.id = 1, served.attempt = 1, served.requestFinished = true;
     drive.on(served);
-    EXPECT_EQ(drive.dispatcher.avoided(), 1u);  // another one served it
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 1u);  // another worker served it
     RosterEntry back = worker(away);
-    back.since = drive.now;
-    drive.roster({back}, RosterMode::changes);  // started anew: nothing is held against it
-    EXPECT_EQ(drive.dispatcher.avoided(), 0u);
+    back.startedAt = drive.now;
+    drive.roster({back}, RosterMode::incremental);  // a restart clears its failures
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 0u);
     drive.arrive();
     const Worker gone = drive.all<Send>().at(0).worker;
     drive.on(missed(2));
-    EXPECT_EQ(drive.dispatcher.avoided(), 1u);
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 1u);
     RosterEntry off = worker(gone);
-    off.standing = Standing::off;
-    drive.roster({off}, RosterMode::changes);  // only who is listed counts
-    EXPECT_EQ(drive.dispatcher.avoided(), 0u);
+    off.status = WorkerStatus::off;
+    drive.roster({off}, RosterMode::incremental);  // only listed workers count
+    EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 0u);
 }
 
 TEST(Health, AStaleConnectionSaysNothingOfItsWorker) {
@@ -531,8 +534,8 @@
     d.roster({worker(0), worker(1), worker(2)});
     const RequestId id = d.arrive();
     const Worker first = d.sentTo();
-    d.end(id, Outcome::stale);
-    EXPECT_NE(d.sentTo(), first);  // this job goes elsewhere: it may have run, and it is safe
+    d.end(id, Outcome::staleConnection);
+    EXPECT_NE(d.sentTo(), first);  // the job may have run, but it is safe, so another worker gets it
     d.end(id, Outcome::ok, 1);
     bool used = false;
     for (int i = 0; i < 6; ++i) used = d.serve(milliseconds(300)) == first || used;
@@ -542,7 +545,7 @@
 TEST(Health, ATrialIsNeverAnUnsafeJobWhereSafeOnesExist) {
     Settings s = plainSettings();
     s.classes.push_back(s.classes[0]);
-    s.classes[1].effect = Effect::unsafe;
+    s.classes[1].idempotency = Idempotency::unsafe;
     Drive d(s);
     d.roster({worker(0), worker(1), worker(2)});
     const RequestId id = d.arrive();
@@ -552,7 +555,7 @@
     for (int i = 0; i < 8; ++i) {
         const RequestId unsafe = d.arrive(seconds(5), 1);
         EXPECT_NE(d.sentTo(), bad);
-        d.on(AttemptNote{unsafe, 0, true, 0});
+        d.on(AttemptProgress{unsafe, 0, true, 0});
         d.end(unsafe, Outcome::ok);
     }
 }
@@ -561,7 +564,7 @@
     Drive d(plainSettings());
     d.roster({worker(0), worker(1), worker(2)});
     for (int i = 0; i < 300; ++i)
-        d.serve(milliseconds(10));  // starts come at once: the longest wait is short
+        d.serve(milliseconds(10));  // starts are reported at once, so the longest wait is short
     const RequestId id = d.arrive();
     const Worker silent = d.sentTo();
     d.now += milliseconds(700);
@@ -571,16 +574,16 @@
 
 TEST(Health, ARunningJobWhoseProgressLapsesIsCopiedWhereAllowed) {
     Settings s = plainSettings();
-    s.progress = seconds(1);
+    s.progressInterval = seconds(1);
     s.mayDuplicate = true;
     Drive d(s);
     d.roster({worker(0), worker(1), worker(2)});
     const RequestId id = d.arrive();
     const Worker first = d.sentTo();
-    d.on(AttemptNote{id, 0, true, 0});
+    d.on(AttemptProgress{id, 0, true, 0});
     d.now += milliseconds(1500);
     d.fire(1, id);
-    EXPECT_TRUE(d.all<Send>().empty());  // a note may still come
+    EXPECT_TRUE(d.all<Send>().empty());  // not overdue yet
     d.now += milliseconds(1000);
     d.fire(1, id);
     EXPECT_NE(d.sentTo(), first);
@@ -598,17 +601,17 @@
             std::uint32_t attempt = 0;
             for (; !d.all<Send>().empty() && d.all<Send>()[0].worker >= 12; ++misses)
                 d.end(id, Outcome::connectFailed, attempt++);
-            d.on(AttemptNote{id, attempt, true, 0});
+            d.on(AttemptProgress{id, attempt, true, 0});
             d.now += milliseconds(10);
             d.end(id, Outcome::ok, attempt);
         }
         return misses;
     };
-    EXPECT_LE(play(40), 6);  // not each of its twelve workers in turn
+    EXPECT_LE(play(40), 6);  // it does not fail at each of the twelve workers in turn
     EXPECT_LE(play(40), 3);
     d.now += seconds(2);
     int back = 0;
-    for (int i = 0; i < 60; ++i) back += d.serve(milliseconds(40)) >= 12;  // it can be reached again
+    for (int i = 0; i < 60; ++i) back += d.serve(milliseconds(40)) >= 12;  // it is reachable again
     EXPECT_GT(back, 15);
 }
 
@@ -626,10 +629,11 @@
 TEST(Health, SeldomUsedConnectionsAreClosedUnlessNewOnesHaveAPrice) {
     for (const double price : {0.0, 0.1}) {
         Settings s = plainSettings();
-        s.handshakePrice = price;
+        s.handshakeCost = price;
         Drive d(s);
         d.fleet(50);
-        for (int i = 0; i < 20; ++i) d.serve(milliseconds(100));  // two jobs at once would need two workers
+        for (int i = 0; i < 20; ++i)
+            d.serve(milliseconds(100));  // one job at a time, while there are 50 workers
         EXPECT_EQ(d.all<CloseIdle>().size(), price == 0 ? 1u : 0u);
     }
     Drive few(plainSettings());
@@ -642,12 +646,12 @@
 
 Settings coldSettings(std::uint32_t fleet, std::uint32_t me) {
     Settings s = plainSettings();
-    s.fleetSize = fleet;
-    s.me = me;
-    s.cold = seconds(20);
-    s.coldFrom = 0.2;
-    s.fallMultiple = 2.5;
-    s.overloadFor = seconds(2);
+    s.schedulerCount = fleet;
+    s.schedulerIndex = me;
+    s.warmup = seconds(20);
+    s.initialCapacity = 0.2;
+    s.coldBudgetMultiple = 2.5;
+    s.coldBudgetSpan = seconds(2);
     return s;
 }
 
@@ -656,8 +660,8 @@
     d.roster({worker(0), worker(1), worker(2), worker(3)});
     for (int i = 0; i < 2000; ++i) d.serve(milliseconds(10));  // 100 jobs a second, 25 for each worker
     RosterEntry cold = worker(4);
-    cold.since = d.now - milliseconds(1);
-    d.roster({cold}, RosterMode::changes);
+    cold.startedAt = d.now - milliseconds(1);
+    d.roster({cold}, RosterMode::incremental);
     int early = 0, late = 0;
     for (int i = 0; i < 200; ++i) early += d.serve(milliseconds(10)) == 4;  // its first 2 s
     for (int i = 0; i < 2000; ++i) d.serve(milliseconds(10));
@@ -675,28 +679,30 @@
         for (int i = 0; i < 20; ++i)
             d.serve(milliseconds(1000));  // a job a second, five a second for each worker
         RosterEntry cold = worker(10);
-        cold.since = d.now - milliseconds(1);
-        d.roster({cold}, RosterMode::changes);
+        cold.startedAt = d.now - milliseconds(1);
+        d.roster({cold}, RosterMode::incremental);
         for (int i = 0; i < 2; ++i) together += d.serve(milliseconds(999)) == 10;
     }
-    EXPECT_LE(together, static_cast<int>(2.5 * 0.28 * 5 * 2));  // the tier's budget for its first 2 s
+    EXPECT_LE(together,
+              static_cast<int>(2.5 * 0.28 * 5 * 2));  // the budget of all schedulers for its first 2 s
 }
 
-// Where all start together nothing was answered yet that could say what they bear: a job each, by all
-// schedulers together, and more as it is answered. Guards against a tier that serves nobody until all are
-// warm.
+// When all workers start together, there are no answers yet to derive a budget from. The schedulers together
+// send each worker one job and then more as jobs are answered; otherwise nothing would be served until all
+// are warm.
 TEST(Cold, WhereAllAreColdAFirstJobEachBegins) {
     constexpr std::uint32_t kFleet = 10;
     int first = 0, last = 0;
     for (std::uint32_t me = 0; me < kFleet; ++me) {
         Drive d(coldSettings(kFleet, me), 100 + me);
         std::vector<RosterEntry> all;
-        for (Worker w = 0; w < 5; ++w) all.push_back(worker(w)), all.back().since = d.now - milliseconds(1);
+        for (Worker w = 0; w < 5; ++w)
+            all.push_back(worker(w)), all.back().startedAt = d.now - milliseconds(1);
         d.roster(all);
         for (int i = 0; i < 100; ++i) {  // ten a second
             const RequestId id = d.arrive();
             const bool sent = !d.all<Send>().empty();
-            if (sent) d.on(AttemptNote{id, 0, true, 0});
+            if (sent) d.on(AttemptProgress{id, 0, true, 0});
             d.now += milliseconds(100);
             if (sent)
                 d.end(id, Outcome::ok);
@@ -707,7 +713,7 @@
     }
     EXPECT_GE(first, 1);
     EXPECT_LE(first,
-              30);  // a job each by turns, if only one scheduler in five had a job: nothing is known yet
+              30);  // the turns assume that only one scheduler in five has a job, as nothing is known yet
     EXPECT_GE(last, 150);  // of 200
 }
 
@@ -716,8 +722,8 @@
     d.roster({worker(0), worker(1)});
     for (int i = 0; i < 2000; ++i) d.serve(milliseconds(10));
     RosterEntry again = worker(1);
-    again.since = d.now;
-    d.roster({again}, RosterMode::changes);
+    again.startedAt = d.now;
+    d.roster({again}, RosterMode::incremental);
     int sent = 0;
     for (int i = 0; i < 100; ++i) sent += d.serve(milliseconds(10)) == 1;
     EXPECT_LT(sent, 30);  // 50 before
@@ -726,7 +732,7 @@
 TEST(Admission, ATenantOverItsQuotaIsRefusedFirst) {
     Settings s = plainSettings();
     s.tenants = {{0.5, 40}, {0.5, 40}};
-    s.overShareWorth = 0.1;
+    s.overQuotaWorth = 0.1;
     Drive d(s);
     d.roster({worker(0), worker(1)});
     int asked[2] = {0, 0}, refused[2] = {0, 0};
@@ -741,8 +747,8 @@
         const bool no = !d.all<Refuse>().empty();
         if (!no) waiting.push_back(r.id);
         if (i >= 1500) ++asked[r.tenant], refused[r.tenant] += no;
-        if (i % 10 < 7 && !waiting.empty()) {  // the workers can do seven in ten
-            d.on(AttemptNote{waiting.front(), 0, true, 0});
+        if (i % 10 < 7 && !waiting.empty()) {  // the workers have capacity for seven jobs in ten
+            d.on(AttemptProgress{waiting.front(), 0, true, 0});
             d.now += milliseconds(5);
             d.end(waiting.front(), Outcome::ok);
             waiting.erase(waiting.begin());
@@ -750,24 +756,24 @@
         d.now += milliseconds(5);
     }
     EXPECT_GT(refused[0], asked[0] / 10);
-    EXPECT_LT(5 * refused[1] * asked[0], refused[0] * asked[1]);  // its share of refusals is a fifth at most
+    EXPECT_LT(5 * refused[1] * asked[0], refused[0] * asked[1]);  // it is refused at most a fifth as often
 }
 
 TEST(Admission, WithoutStartNotesRunningJobsAreNotTakenForWaitingOnes) {
     Settings s = plainSettings();
-    s.tellsStart = false;
+    s.workersReportStart = false;
     Drive d(s);
     d.fleet(20);
     std::vector<RequestId> running;
     int refused = 0;
-    for (int i = 0; i < 400; ++i) {  // ten jobs run at once, each for as long as the goal
+    for (int i = 0; i < 400; ++i) {  // ten jobs run at a time, each as long as the target latency
         running.push_back(d.arrive());
         refused += !d.all<Refuse>().empty();
         d.now += milliseconds(30);
         if (running.size() > 10) d.end(running.front(), Outcome::ok), running.erase(running.begin());
     }
     EXPECT_EQ(refused, 0);
-    for (int i = 0; i < 200; ++i) {  // all are full: then it must be the load
+    for (int i = 0; i < 200; ++i) {  // all workers are full: this is overload
         const RequestId id = d.arrive();
         for (std::uint32_t a = 0; !d.all<Send>().empty(); ++a) d.end(id, Outcome::full, a);
         d.now += milliseconds(30);
@@ -777,7 +783,7 @@
     EXPECT_GT(refused, 8);
 }
 
-// Guards against a door that keeps itself shut: behind it few jobs are left to show that there is room again.
+// Admission must not stay closed: while it refuses, few jobs remain that could show that there is room again.
 TEST(Admission, TheDoorOpensByTimeWhenThereIsRoomAgain) {
     Drive d(plainSettings());
     d.fleet(20);
@@ -787,17 +793,16 @@
         d.now += milliseconds(30);
     }
     int refused = 0;
-    for (int i = 0; i < 60; ++i) {  // half a minute with two jobs a second, and room for each
+    for (int i = 0; i < 60; ++i) {  // half a minute at two jobs a second, with room for each
         const RequestId id = d.arrive();
         if (i >= 30) refused += !d.all<Refuse>().empty();
-        if (!d.all<Send>().empty()) d.on(AttemptNote{id, 0, true, 0}), d.end(id, Outcome::ok);
+        if (!d.all<Send>().empty()) d.on(AttemptProgress{id, 0, true, 0}), d.end(id, Outcome::ok);
         d.now += milliseconds(500);
     }
     EXPECT_EQ(refused, 0);
 }
 
-// Guards against refusing work that has its place: where queues are short many an attempt meets a full
-// worker.
+// Work that finds room must not be refused: where queues are short, many first attempts meet a full worker.
 TEST(Admission, AFullWorkerIsNoJamWhereTheNextOneTakesTheJob) {
     Drive d(plainSettings());
     d.fleet(20);
@@ -806,26 +811,26 @@
         const RequestId id = d.arrive();
         refused += !d.all<Refuse>().empty();
         d.end(id, Outcome::full, 0);
-        if (!d.all<Send>().empty()) d.on(AttemptNote{id, 1, true, 0}), d.end(id, Outcome::ok, 1);
+        if (!d.all<Send>().empty()) d.on(AttemptProgress{id, 1, true, 0}), d.end(id, Outcome::ok, 1);
         d.now += milliseconds(100);
     }
     EXPECT_EQ(refused, 0);
 }
 
-// --- lists that tell what workers hold ---
+// --- live weights ---
 
-Settings liveSettings() {  // nobody tells of starts, giving up frees nothing, copies are not allowed
+Settings liveSettings() {  // no start reports, cancelling frees no capacity, no copies
     Settings s = plainSettings();
     s.classes.push_back(s.classes[0]);
-    s.classes[1].goal = seconds(3);
+    s.classes[1].targetLatency = seconds(3);
     s.weights = Weights::live;
-    s.tellsStart = false, s.mayCancel = true, s.worthByWork = true, s.retryAdvice = true;
-    s.progress = seconds(1), s.maxRetryAfter = seconds(2);
-    s.wholeGoal = 0.6, s.worstClassGoal = 0.35;
+    s.workersReportStart = false, s.mayCancel = true, s.worthPerWork = true, s.mayAdviseRetry = true;
+    s.progressInterval = seconds(1), s.maxRetryAfter = seconds(2);
+    s.overallWeight = 0.6, s.worstClassWeight = 0.35;
     return s;
 }
 
-// Workers of size 4 that hold so many jobs for each core, each job of half a second.
+// Workers of size 4. tell() sets how many jobs they hold for each core; each job takes half a second.
 struct Live : Drive {
     explicit Live(Settings s = liveSettings()) : Drive(std::move(s)) {
         tell({0, 0, 0, 0});
@@ -835,7 +840,7 @@
         std::vector<RosterEntry> entries;
         for (const double h : held)
             entries.push_back(worker(static_cast<Worker>(entries.size()), 4 / (1 + h)));
-        roster(entries, RosterMode::changes);
+        roster(entries, RosterMode::incremental);
     }
     void serveHinted(Nanos hint, Nanos took) {
         const RequestId id = arrive(seconds(5), 0, hint);
@@ -843,15 +848,15 @@
         end(id, Outcome::ok);
         tell({0, 0, 0, 0});
     }
-    bool takes(std::uint32_t klass) {  // and it is over at once, so that own jobs don't pile up
+    bool takes(std::uint32_t klass) {  // ends the job at once, so that own jobs do not add up
         const RequestId id = arrive(seconds(5), klass, milliseconds(500));
         const bool sent = !all<Send>().empty();
-        for (std::uint32_t a = 0; sent && a < 3; ++a) end(id, Outcome::moot, a);
+        for (std::uint32_t a = 0; sent && a < 3; ++a) end(id, Outcome::notExecuted, a);
         return sent;
     }
 };
 
-// Guards against a queue that the list tells of: where giving up frees nothing, a job sent there is late.
+// A job sent to a worker with a long reported queue is late, and cancelling it frees no capacity.
 TEST(Lists, AWorkerWhoseQueueIsTooLongGetsNothing) {
     Live d;
     d.tell({6, 0, 6, 0});
@@ -867,14 +872,15 @@
     d.tell({6, 6, 6, 6});
     d.arrive(seconds(5), 0, milliseconds(500));
     ASSERT_EQ(d.all<Refuse>().size(), 1u);
-    EXPECT_GT(d.all<Refuse>()[0].retryIn, Nanos(0));
+    EXPECT_GT(d.all<Refuse>()[0].retryAfter, Nanos(0));
     EXPECT_TRUE(d.all<Send>().empty());
     d.tell({6, 6, 0, 6});
     d.arrive(seconds(5), 0, milliseconds(500));
     EXPECT_EQ(d.sentTo(), 2u);
 }
 
-// Guards against a herd between two lists: own jobs since the last one count as held.
+// Own jobs sent since the last list count as held; otherwise all jobs between two lists go to the same
+// workers.
 TEST(Lists, OwnJobsSinceTheListCount) {
     Live d;
     d.tell({0.9, 0.9, 0.9, 0.9});
@@ -882,14 +888,14 @@
     for (int i = 0; i < 60; ++i) d.arrive(seconds(5), 0, milliseconds(500)), sent += !d.all<Send>().empty();
     EXPECT_GE(sent, 8);
     EXPECT_LE(sent, 24);
-    for (int i = 0; i < 60; ++i) {  // one at a time: what has ended is no longer there
+    for (int i = 0; i < 60; ++i) {  // one at a time: ended jobs no longer count
         d.tell({0.9, 0.9, 0.9, 0.9});
         for (int job = 0; job < 10; ++job) EXPECT_TRUE(d.takes(0));
     }
 }
 
-// Guards against a class with a short wanted time that is shut out by one that can wait, and lets one that is
-// worth much more for each unit of work wait as long as it can bear.
+// A class with a long target latency must not fill the queues so that one with a short target is refused. A
+// class that is worth much more for each unit of work may still wait as long as its own slack.
 TEST(Lists, NoClassWaitsLongerThanTheTightestUnlessItsWorthIsAhead) {
     for (const double worth : {1.0, 20.0}) {
         Settings s = liveSettings();
@@ -897,7 +903,7 @@
         Live d(s);
         int low = 0, high = 0;
         for (int i = 0; i < 40; ++i) {
-            d.tell({4, 4, 4, 4});  // a wait of 1.5 s; the tight class bears 0.8 s, the other 3.5 s
+            d.tell({4, 4, 4, 4});  // a wait of 1.5 s; the slack is 0.8 s for class 0 and 3.5 s for class 1
             low += d.takes(0), high += d.takes(1);
         }
         EXPECT_EQ(low, 0);
@@ -905,7 +911,8 @@
     }
 }
 
-// Guards against expectations made of a mean of ratios: one hint far too small would count for all jobs.
+// Expected job times come from a ratio of sums: in a mean of ratios one hint that is far too small would
+// affect all jobs.
 TEST(Lists, OneFarTooSmallHintSaysNothingOfOtherJobs) {
     Live d;
     d.serveHinted(milliseconds(1), milliseconds(500));
@@ -915,16 +922,16 @@
     EXPECT_TRUE(d.takes(0));
     Drive fresh(liveSettings());
     fresh.roster({worker(0, 4), worker(1, 4)});
-    const RequestId id = fresh.arrive(seconds(5), 0, milliseconds(1));  // the very first one
+    const RequestId id = fresh.arrive(seconds(5), 0, milliseconds(1));  // the first job ever
     fresh.now += milliseconds(500), fresh.end(id, Outcome::ok);
     fresh.arrive(seconds(5), 0, milliseconds(500));
-    fresh.roster({worker(0, 4 / 2.3), worker(1, 4 / 2.3)}, RosterMode::changes);
+    fresh.roster({worker(0, 4 / 2.3), worker(1, 4 / 2.3)}, RosterMode::incremental);
     fresh.arrive(seconds(5), 0, milliseconds(50));
     EXPECT_EQ(fresh.all<Send>().size(), 1u);
 }
 
-// Guards against waiting jobs taken for silent ones where starts are not told, and against a hung worker that
-// goes on getting jobs all the same.
+// Without start reports, a waiting job must not make its worker look silent, and a hung worker must not go on
+// getting jobs.
 TEST(Lists, ASilentWorkerIsLeftAloneAndABusyOneIsNot) {
     for (const bool hung : {false, true}) {
         Live d;
@@ -935,10 +942,10 @@
         ASSERT_EQ(d.sentTo(), 0u);
         for (int i = 0; i < 3; ++i) {
             d.now += seconds(1);
-            if (!hung) d.on(AttemptNote{runs, 0, false, 0.2});
+            if (!hung) d.on(AttemptProgress{runs, 0, false, 0.2});
             d.fire(1, waits);
         }
-        EXPECT_EQ(d.dispatcher.avoided(), hung ? 1u : 0u);
+        EXPECT_EQ(d.dispatcher.avoidedWorkerCount(), hung ? 1u : 0u);
     }
 }
 
@@ -949,14 +956,15 @@
         d.fleet(10);
         for (int i = 0; i < 20; ++i) {
             const RequestId id = d.arrive(seconds(5), 0, milliseconds(100));
-            d.on(AttemptNote{id, 0, true, 0});
+            d.on(AttemptProgress{id, 0, true, 0});
             d.now += milliseconds(1000);
             d.end(id, Outcome::ok);
         }
         RosterEntry cold = worker(10);
-        cold.since = d.now - milliseconds(1);
-        d.roster({cold}, RosterMode::changes);
-        d.arrive(seconds(5), 0, milliseconds(1500));  // fifteen mean jobs; the tier's budget is 28 of them
+        cold.startedAt = d.now - milliseconds(1);
+        d.roster({cold}, RosterMode::incremental);
+        d.arrive(seconds(5), 0,
+                 milliseconds(1500));  // fifteen mean jobs; all schedulers together have a budget of 28
         big += d.sentTo() == 10;
     }
     EXPECT_EQ(big, 0);
@@ -1003,8 +1011,8 @@
             waiting.push_back(id);
         else if (i >= 1000)
             ++refused[i % 2];
-        if (i % 10 < 7 && !waiting.empty()) {  // the workers can do seven in ten
-            d.on(AttemptNote{waiting.front(), 0, true, 0});
+        if (i % 10 < 7 && !waiting.empty()) {  // the workers have capacity for seven jobs in ten
+            d.on(AttemptProgress{waiting.front(), 0, true, 0});
             d.now += milliseconds(5);
             d.end(waiting.front(), Outcome::ok);
             waiting.erase(waiting.begin());
@@ -1015,7 +1023,7 @@
     EXPECT_GT(refused[0], 5 * refused[1]);
 }
 
-// --- the library's edges ---
+// --- invalid input ---
 
 TEST(Settings, InvalidOnesNameTheField) {
     const auto fault = [](void (*spoil)(Settings&)) {
@@ -1029,12 +1037,12 @@
         return std::string("accepted");
     };
     EXPECT_NE(fault([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-    EXPECT_NE(fault([](Settings& s) { s.me = 1; }).find("me"), std::string::npos);
+    EXPECT_NE(fault([](Settings& s) { s.schedulerIndex = 1; }).find("me"), std::string::npos);
     EXPECT_NE(fault([](Settings& s) { s.maxAttempts = 0; }).find("maxAttempts"), std::string::npos);
-    EXPECT_NE(fault([](Settings& s) { s.coldFrom = 0; }).find("coldFrom"), std::string::npos);
-    EXPECT_NE(fault([](Settings& s) { s.classes[0].giveUp = Nanos(0); }).find("classes.giveUp"),
+    EXPECT_NE(fault([](Settings& s) { s.initialCapacity = 0; }).find("coldFrom"), std::string::npos);
+    EXPECT_NE(fault([](Settings& s) { s.classes[0].clientTimeout = Nanos(0); }).find("classes.giveUp"),
               std::string::npos);
-    EXPECT_NE(fault([](Settings& s) { s.worstClassGoal = -1; }).find("goal.worstClass"), std::string::npos);
+    EXPECT_NE(fault([](Settings& s) { s.worstClassWeight = -1; }).find("goal.worstClass"), std::string::npos);
     EXPECT_NE(fault([](Settings& s) { s.classes[0].stretch = -1; }).find("classes.stretch"),
               std::string::npos);
     EXPECT_EQ(fault([](Settings&) {}), "accepted");
@@ -1047,7 +1055,7 @@
     EXPECT_THROW(d.on(r), std::invalid_argument);
 }
 
-// --- the text of the module ---
+// --- source limits ---
 
 TEST(Module, StaysWithinItsLinesAndWidth) {
     std::ifstream file(HERONMOUNT_SOURCE_DIR "/src/rules.cpp");
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -125,10 +125,10 @@
                     EXPECT_LT(job.sends, s.maxAttempts);
                     EXPECT_TRUE(job.out.empty() || s.mayDuplicate);
                     if (tainted) {
-                        EXPECT_NE(klass.effect, Effect::unsafe);
+                        EXPECT_NE(klass.idempotency, Idempotency::unsafe);
                     }
-                    if (tainted && klass.effect == Effect::keyed) {
-                        EXPECT_LE(now, job.anchored + klass.window);
+                    if (tainted && klass.idempotency == Idempotency::keyed) {
+                        EXPECT_LE(now, job.anchored + klass.dedupWindow);
                     }
                     if (!tainted) job.anchored = now;
                     job.out.insert(job.sends++);
@@ -150,7 +150,7 @@
         }
     };
     RosterUpdate list;
-    list.mode = RosterMode::whole;
+    list.mode = RosterMode::full;
     for (Worker w = 0; w < 4; ++w) {
         list.entries.emplace_back();
         auto& entry = list.entries.back();
@@ -169,7 +169,7 @@
         if (draw.below(3) == 0) {
             RequestArrived request;
             request.id = ++last, request.klass = static_cast<std::uint32_t>(draw.below(s.classes.size()));
-            request.timeLeft = s.classes[request.klass].giveUp;
+            request.timeLeft = s.classes[request.klass].clientTimeout;
             request.slots = draw.of({0.0, 1.0, 4.0, 1e6});
             jobs[last].klass = request.klass, jobs[last].deadline = now + request.timeLeft;
             tell(request);
@@ -178,9 +178,11 @@
             if (job.out.empty() || draw.below(4)) continue;
             const std::uint32_t attempt = *job.out.begin();
             job.out.erase(attempt);
-            const auto how = draw.of({Outcome::ok, Outcome::ok, Outcome::error, Outcome::full, Outcome::reset,
-                                      Outcome::connectFailed, Outcome::moot, Outcome::stale});
-            job.mayHaveRun |= how != Outcome::full && how != Outcome::connectFailed && how != Outcome::moot;
+            const auto how =
+                draw.of({Outcome::ok, Outcome::ok, Outcome::error, Outcome::full, Outcome::reset,
+                         Outcome::connectFailed, Outcome::notExecuted, Outcome::staleConnection});
+            job.mayHaveRun |=
+                how != Outcome::full && how != Outcome::connectFailed && how != Outcome::notExecuted;
             if (how == Outcome::ok) job.finals += job.finals == 0;
             tell(AttemptEnded{id, attempt, how, milliseconds(5), job.finals > 0, {}});
         }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -32,7 +32,7 @@
     return out;
 }
 
-// What the wire says of a bad line, after a batch was opened and the given lines were taken.
+// The error for a bad line, after the given lines were read; "accepted" if there is none.
 std::string fault(const std::string& line, const std::vector<std::string>& before = {}) {
     Codec codec;
     for (const std::string& good : before) codec.feed(good);
@@ -104,7 +104,7 @@
                     spawned),
               "unknown worker 'nobody:1'");
     EXPECT_EQ(fault(R"({"kind":"clientLeft","schedulerId":"scheduler/0","tid":3,"extra":[1,2]})", spawned),
-              "accepted");  // late ones and unknown keys are ignored
+              "accepted");  // late events and unknown fields are ignored
     EXPECT_EQ(fault(R"({"kind":"heard","schedulerId":"scheduler/0","author":1,"payload":"6869"})", spawned),
               "accepted");
 }
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -12,19 +12,20 @@
 namespace amberswitch {
 
 using heronmount::RosterMode;
-using heronmount::Standing;
+using heronmount::WorkerStatus;
 using namespace std::chrono_literals;
 
 inline settings::Site site() {
     settings::Site s;
     s.classes = {"car-match", "job-assign"};
     s.module.classes.resize(2);
-    s.module.classes[0].goal = 400ms, s.module.classes[0].giveUp = 8s;
-    s.module.classes[1].goal = 400ms, s.module.classes[1].giveUp = 5s, s.module.classes[1].window = 7500ms;
-    s.module.classes[1].effect = heronmount::Effect::keyed,
-    s.module.classes[1].group = heronmount::Group::cell;
-    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.tellsStart = true;
-    s.module.retryAdvice = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms;
+    s.module.classes[0].targetLatency = 400ms, s.module.classes[0].clientTimeout = 8s;
+    s.module.classes[1].targetLatency = 400ms, s.module.classes[1].clientTimeout = 5s,
+    s.module.classes[1].dedupWindow = 7500ms;
+    s.module.classes[1].idempotency = heronmount::Idempotency::keyed,
+    s.module.classes[1].dedupScope = heronmount::DedupScope::cell;
+    s.module.maxAttempts = 3, s.module.mayCancel = true, s.module.workersReportStart = true;
+    s.module.mayAdviseRetry = true, s.module.maxRetryAfter = 2s, s.module.tick = 4ms;
     s.idleClose = 5s, s.connectTimeout = 250ms;
     return s;
 }
