--- a/include/heronmount/dispatcher.hpp
+++ b/include/heronmount/dispatcher.hpp
@@ -74,7 +74,7 @@
     Nanos warmup{0};                // longest warm-up of a worker that has started; 0: none
     Nanos coldBudgetSpan{0};        // a warming worker's budget of jobs is counted over spans of this length
     double initialCapacity = 1;     // share of its capacity that a worker has when it starts
-    double coldBudgetMultiple = 1;  // load that a warming worker bears over one span, by its capacity then
+    double coldBudgetMultiple = 1;  // load that it bears over one span, as a multiple of its capacity
 };
 
 // Events
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -98,7 +98,7 @@
             }
             pools_.resize(byKind_.size());
             if (live_) {  // weight = size / (1 + jobs held for each core)
-                double& size = poolOf(w).largest;
+                double& size = poolOf(w).peak;
                 size = std::max({size, entry.weight, 1e-3});
                 w.reportedLoad = size / std::max(1e-3, entry.weight) - 1, w.sentSince = 0;
             }
@@ -109,7 +109,7 @@
             if (workers_[h].listed) active_.push_back(h);
         if (live_ || meanWeight_ == 0) {  // else relative to the mean of the first list
             meanWeight_ = 0;
-            for (const Worker h : active_) meanWeight_ += weight(workers_[h]) / count(active_);
+            for (const Worker h : active_) meanWeight_ += weightOf(workers_[h]) / count(active_);
         }
         for (KindPool& pool : pools_) pool.totalWeight = 0, pool.waits.resize(zones_.size());
         softCount_ = 0, capacity_ = 1e-9;
@@ -141,7 +141,7 @@
     }
 
     // Expected job time at an average worker, in seconds: that of its class, scaled by its hint, if any.
-    double expectedTime(const RequestArrived& r) const {
+    double estimateTime(const RequestArrived& r) const {
         const Mean& ran = runs_[r.klass];
         if (r.durationHint.count() == 0)
             return std::max(1e-3, ran.count > 0 ? ran.value : seconds(cfg_.classes[r.klass].targetLatency));
@@ -174,11 +174,11 @@
         updateCost(h);
     }
 
-    double weight(const WorkerState& w) { return live_ ? poolOf(w).largest : std::max(0.0, w.entry.weight); }
+    double weightOf(const WorkerState& w) { return live_ ? poolOf(w).peak : std::max(0.0, w.entry.weight); }
 
     // Nominal and live weights include a kind's speed: job times then only tell how a worker differs from it.
     double relativeWeight(const WorkerState& w) {
-        return weight(w) > 0 && meanWeight_ > 0 ? std::max(0.05, weight(w) / meanWeight_) : 1;
+        return weightOf(w) > 0 && meanWeight_ > 0 ? std::max(0.05, weightOf(w) / meanWeight_) : 1;
     }
 
     double capacity(WorkerState& w) {
@@ -349,7 +349,7 @@
         Request& r = at->second;
         r.arrival = e, r.klass = &cfg_.classes[e.klass];
         r.arrivedAt = now_, r.deadline = now_ + e.timeLeft;
-        r.expectedTime = expectedTime(e), r.work = r.expectedTime * slotsOf(r);
+        r.expectedTime = estimateTime(e), r.work = r.expectedTime * slotsOf(r);
         meanWork_.add(r.work, 200), demand_.add(now_, r.work);
         if (e.hasAffinityKey) keys_[e.affinityKey].demand.add(now_, r.work);
         if (shouldRefuse(r, e.isClientRetry) && !isColdTurnDue(r)) return reject(r), eraseIfDone(r);
@@ -483,7 +483,7 @@
             const double ran = ownTime(seconds(now_ - a.startedAt), a.expectedWait);  // without the wait
             runs_[r.arrival.klass].add(ran / std::clamp(slowness(w), 0.2, 5.0), 200);
             hints_[r.arrival.klass].add(seconds(r.arrival.durationHint), 200);
-            recordTime(a.worker, ownTime(seconds(now_ - a.sentAt), a.expectedWait) / expectedTime(r.arrival));
+            recordTime(a.worker, ownTime(seconds(now_ - a.sentAt), a.expectedWait) / estimateTime(r.arrival));
             clearFailures(w);
         } else if (e.outcome != Outcome::cancelled && e.outcome != Outcome::notExecuted &&
                    e.outcome != Outcome::staleConnection) {
@@ -520,20 +520,20 @@
     bool isExcluded(const WorkerState& w) const { return w.ejected && !(w.soft && isOverloaded()); }
 
     void recordFailure(WorkerState& w, bool soft) {
-        ++w.failures, ++zoneOf(w).failures;
+        ++w.failStreak, ++zoneOf(w).failures;
         zoneOf(w).retryAt = now_ + nanos(kFirstEjection * (0.5 + random_.next()));
         if (soft && !w.soft && w.listed) ++softCount_;
         w.soft = w.soft || soft, w.ejected = true;
         // A scheduler that uses the worker seldom skips a turn: else many of them keep trying a dead worker.
         const double turn = soft ? 0 : count(active_) / rate_;
         const double length = std::min(std::max(kLongestEjection, 2 * turn),
-                                       std::max(kFirstEjection, turn) * std::exp2(w.failures - 1));
+                                       std::max(kFirstEjection, turn) * std::exp2(w.failStreak - 1));
         w.ejectedUntil = now_ + nanos(length * (0.75 + 0.5 * random_.next()));
     }
 
     void clearFailures(WorkerState& w) {
         if (w.soft && w.listed) --softCount_;
-        w.failures = 0, w.ejected = w.soft = false, zoneOf(w).failures = 0;
+        w.failStreak = 0, w.ejected = w.soft = false, zoneOf(w).failures = 0;
     }
 
     ZoneState& zoneOf(const WorkerState& w) { return zones_[static_cast<std::size_t>(w.entry.zone)]; }
@@ -555,8 +555,7 @@
         return warmth >= 1 ? 1 : cfg_.initialCapacity + (1 - cfg_.initialCapacity) * std::max(0.0, warmth);
     }
 
-    // Updates the budgets of cold workers, as described at ColdWorker, and ends the warm-up of those that are
-    // warm.
+    // Updates the budgets of cold workers, as described at ColdWorker, and drops those that are warm by now.
     void updateBudgets() {
         available_ = capacity_ + 1e-6;
         for (const ColdWorker& c : cold_)
@@ -569,7 +568,7 @@
             WorkerState& w = workers_[c.worker];
             const double part = ramp(w);
             pickData_[c.worker].coldIndex = part < 1 ? still++ : -1;
-            if (part >= 1) pickData_[c.worker].lastPick = kComesFirst;  // its age grew, too
+            if (part >= 1) pickData_[c.worker].lastPick = kComesFirst;  // else all schedulers pick it at once
             if (part > 1.1 * c.rampAtCost) c.rampAtCost = part, updateCost(c.worker);
             const std::int64_t span = (now_ - w.entry.startedAt) / cfg_.coldBudgetSpan;
             if (span != c.span) c.span = span, c.sent = 0;
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -103,7 +103,7 @@
     double reportedLoad = 0;          // live weights: jobs held for each core when the roster was made
     double sentSince = 0;             // live weights: own jobs sent there since that roster arrived
     Time lastHeard{0};                // last time anything was heard from it
-    int failures = 0;                 // failures in a row
+    int failStreak = 0;               // failures in a row
     // Ejected workers get no ordinary work. Load makes workers silent or slow, but not unreachable: `soft`
     // means that load may explain the failure. An ejected worker comes back through a single trial job, one
     // that may be repeated.
@@ -135,7 +135,7 @@
 struct KindPool {
     SmoothedRate work;             // slot-seconds of own work sent there
     double totalWeight = 0;        // sum of the relative weights
-    double largest = 0;            // the largest weight that a roster gave one of them
+    double peak = 0;               // the largest weight that a roster gave one of them
     std::vector<WaitState> waits;  // by zone
 };
 
--- a/tests/figures_test.cpp
+++ b/tests/figures_test.cpp
@@ -181,7 +181,7 @@
     std::uint64_t asked = 0, left = 0, requestsRead = 0;
 };
 
-TEST_F(Figures, AgreeWithBothSidesBooksAtEveryStep) {
+TEST_F(Figures, AgreeWithBothSidesAtEveryStep) {
     for (int step = 0; step < 4000; ++step) {
         const auto what = random() % 8;
         if (what == 0) submit();
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -22,7 +22,7 @@
     return s;
 }
 
-std::vector<Server> farm(std::size_t count, std::size_t ofKind1) {
+std::vector<Server> makeServers(std::size_t count, std::size_t ofKind1) {
     std::vector<Server> out(count);
     for (std::size_t i = 0; i < count; ++i) {
         out[i].entry.worker = static_cast<Worker>(i);
@@ -37,10 +37,10 @@
 // kind that some class needs, and the other kind would be overloaded.
 TEST(Fleet, SparesAKindByWhatTheFleetHoldsThere) {
     for (const std::uint32_t size : {3u, 100u}) {
-        World world(fleetSettings(size), farm(12, 6), 11);
+        World world(fleetSettings(size), makeServers(12, 6), 11);
         const Time end = world.now + seconds(40);
-        world.offer(60.0 / size, 0.5, 0, end);  // 30 of 48 slots, and hardly any work bound to kind 0
-        world.offer(4.0 / size, 0.5, 1, end);
+        world.offerLoad(60.0 / size, 0.5, 0, end);  // 30 of 48 slots, and hardly any work bound to kind 0
+        world.offerLoad(4.0 / size, 0.5, 1, end);
         world.run(end);
         const auto any = [&](int kind) { return static_cast<double>(world.sentByKind[{0, kind}]); };
         EXPECT_GT(any(0), 0.25 * any(1)) << size;
@@ -56,9 +56,9 @@
     for (const bool copies : {false, true}) {
         Settings s = fleetSettings(100);
         s.mayDuplicate = copies;
-        World world(s, farm(12, 0), 12);
+        World world(s, makeServers(12, 0), 12);
         const Time end = world.now + seconds(60);
-        world.offer(76.0 / 100, 0.5, 0, end);  // 38 of 48 slots
+        world.offerLoad(76.0 / 100, 0.5, 0, end);  // 38 of 48 slots
         world.run(end + seconds(20));
         wait[copies] = world.meanWait();
         EXPECT_EQ(world.served + world.refused + world.failed, [&] {
@@ -77,12 +77,12 @@
     Settings s = fleetSettings(100);
     s.zones = 2, s.crossZoneCost = 0.05, s.mayDuplicate = true;
     for (const double busy : {0.4, 1.4}) {  // work in zone 1, as a share of its capacity
-        std::vector<Server> servers = farm(12, 0);
+        std::vector<Server> servers = makeServers(12, 0);
         for (std::size_t i = 0; i < servers.size(); ++i) servers[i].entry.zone = static_cast<int>(i % 2);
         World world(s, servers, 13);
         const Time end = world.now + seconds(60);
-        world.offer(busy * 48 / 50, 0.5, 0, end, 1);
-        world.offer(0.4 * 48 / 50, 0.5, 0, end, 0);
+        world.offerLoad(busy * 48 / 50, 0.5, 0, end, 1);
+        world.offerLoad(0.4 * 48 / 50, 0.5, 0, end, 0);
         world.run(end);
         const double home = world.share([](const Server& server) { return server.entry.zone == 1; });
         if (busy < 1) {
@@ -97,10 +97,10 @@
 TEST(Fleet, RefusesWorkByItsOwnWaits) {
     Settings s = fleetSettings(100);
     s.mayDuplicate = true, s.classes[1].worth = 2;
-    World world(s, farm(12, 6), 14);
+    World world(s, makeServers(12, 6), 14);
     const Time end = world.now + seconds(60);
-    world.offer(28.0 / 100, 0.5, 0, end);  // 14 of the 24 slots of kind 1
-    world.offer(72.0 / 100, 0.5, 1, end);  // 36 of the 24 slots of kind 0
+    world.offerLoad(28.0 / 100, 0.5, 0, end);  // 14 of the 24 slots of kind 1
+    world.offerLoad(72.0 / 100, 0.5, 1, end);  // 36 of the 24 slots of kind 0
     world.run(end);
     EXPECT_GT(world.refusedOf[1], 500u);
     EXPECT_LT(world.refusedOf[0], 120u);  // of 1,700
@@ -115,9 +115,9 @@
     Settings s = fleetSettings(GetParam());
     s.mayDuplicate = true;
     s.warmup = seconds(20), s.initialCapacity = 0.2, s.coldBudgetMultiple = 3, s.coldBudgetSpan = seconds(1);
-    World world(s, farm(16, 0), 15);
+    World world(s, makeServers(16, 0), 15);
     const Time end = world.now + seconds(60), back = world.now + seconds(30);
-    world.offer(80.0 / GetParam(), 0.4, 0, end);  // 32 of 64 slots
+    world.offerLoad(80.0 / GetParam(), 0.4, 0, end);  // 32 of 64 slots
     const auto ramp = [&](Time at) {
         return std::min(1.0, 0.2 + 0.8 * std::chrono::duration<double>(at - back).count() / 20);
     };
@@ -125,7 +125,7 @@
     world.at(back, [&] {
         for (std::size_t i = 0; i < kReturned; ++i)
             world.servers[i].entry.startedAt = back, world.servers[i].arrivals.clear();
-        for (std::size_t n = 0; n < world.nodes.size(); ++n) world.tell(n, world.list(RosterMode::full));
+        for (std::size_t n = 0; n < world.nodes.size(); ++n) world.deliver(n, world.list(RosterMode::full));
     });
     for (int i = 0; i < 200; ++i)
         world.at(back + milliseconds(100 * i), [&] {
@@ -156,8 +156,8 @@
 TEST(Fleet, AMassStartIsSpread) {
     Settings s = fleetSettings(100);
     s.rosterOnRequest = true, s.rosterRequestWindow = seconds(10);
-    World world(s, farm(20, 0), 16);
-    world.offer(0.5, 0.2, 0, world.now + seconds(2));
+    World world(s, makeServers(20, 0), 16);
+    world.offerLoad(0.5, 0.2, 0, world.now + seconds(2));
     world.run(world.now + seconds(2));
     const auto most = [&world](std::size_t which) {  // most requests for the roster within 250 ms
         std::map<std::int64_t, int> spans;
@@ -169,7 +169,7 @@
     };
     for (std::size_t n = 0; n < world.nodes.size(); ++n) world.restart(n);
     std::fill(world.sentTo.begin(), world.sentTo.end(), 0);
-    world.offer(0.5, 0.2, 0, world.now + seconds(2));
+    world.offerLoad(0.5, 0.2, 0, world.now + seconds(2));
     world.run(world.now + seconds(4));
     EXPECT_GT(most(0), 0);
     EXPECT_LE(most(0), 20);  // 100 over 3.3 s
@@ -178,7 +178,7 @@
     EXPECT_GT(sent, 60u);
     EXPECT_LE(*std::max_element(world.sentTo.begin(), world.sentTo.end()), sent / 6);
     for (std::size_t n = 0; n < world.nodes.size(); ++n)  // discovery fails for all at the same time
-        world.tell(n, RosterUpdate{RosterMode::lost, {}});
+        world.deliver(n, RosterUpdate{RosterMode::lost, {}});
     world.run(world.now + seconds(4));
     EXPECT_GT(most(1), 0);
     EXPECT_LE(most(1), 40);  // 100 over a second: half to three halves of the first wait
@@ -187,9 +187,9 @@
 // A hundred dispatchers must neither keep trying a dead server one after another nor return to it at the same
 // time.
 TEST(Fleet, ADeadServerIsTriedSeldomAndNotInStep) {
-    World world(fleetSettings(100), farm(20, 0), 17);
+    World world(fleetSettings(100), makeServers(20, 0), 17);
     const Time end = world.now + seconds(90);
-    world.offer(1.0, 0.2, 0, end);
+    world.offerLoad(1.0, 0.2, 0, end);
     world.servers[3].up = false;
     world.run(end);
     const auto& tries = world.servers[3].arrivals;
--- a/tests/fleet_world.hpp
+++ b/tests/fleet_world.hpp
@@ -60,8 +60,8 @@
     std::map<std::pair<std::uint32_t, int>, std::uint64_t> sentByKind;  // class and kind
     std::map<std::uint32_t, std::uint64_t> refusedOf;                   // by class
 
-    World(const Settings& settings, std::vector<Server> farm, std::uint64_t seed)
-        : servers(std::move(farm)), settings_(settings), random_(seed) {
+    World(const Settings& settings, std::vector<Server> initial, std::uint64_t seed)
+        : servers(std::move(initial)), settings_(settings), random_(seed) {
         sentTo.resize(servers.size());
         for (std::uint32_t me = 0; me < settings.schedulerCount; ++me) {
             nodes.emplace_back();
@@ -75,7 +75,7 @@
         own.schedulerIndex = static_cast<std::uint32_t>(me), own.zone = zoneOf(me);
         nodes[me] = Node();
         nodes[me].dispatcher = std::make_unique<Dispatcher>(own, random_());
-        tell(me, list(mode));
+        deliver(me, list(mode));
     }
 
     RosterUpdate list(RosterMode mode) const {
@@ -87,30 +87,33 @@
 
     // Sends jobs to every node (of that zone, if one is given) until `end`: `perSecond` at each node, with
     // exponentially distributed work of that mean, in seconds.
-    void offer(double perSecond, double meanWork, std::uint32_t klass, Time end, int zone = -1) {
+    void offerLoad(double perSecond, double meanWork, std::uint32_t klass, Time end, int zone = -1) {
         for (std::size_t n = 0; n < nodes.size(); ++n)
             if (zone < 0 || zoneOf(n) == zone) arriveLater(n, perSecond, meanWork, klass, end);
     }
     int zoneOf(std::size_t n) const { return static_cast<int>(n) % settings_.zones; }
 
-    void at(Time when, std::function<void()> what) { agenda_.push({when, order_++, std::move(what)}); }
+    // Calls `what` at that time.
+    void at(Time when, std::function<void()> what) { events_.push({when, order_++, std::move(what)}); }
 
     void run(Time until) {
-        while (!agenda_.empty() && agenda_.top().when <= until) {
-            const Entry next = agenda_.top();
-            agenda_.pop();
+        while (!events_.empty() && events_.top().when <= until) {
+            const Entry next = events_.top();
+            events_.pop();
             now = std::max(now, next.when);
             next.what();
         }
         now = until;
     }
 
-    void tell(std::size_t n, const Event& event) {
+    // Passes an event to a node's dispatcher and carries out the resulting actions.
+    void deliver(std::size_t n, const Event& event) {
         std::vector<Action> actions;
         nodes[n].dispatcher->on(now, event, actions);
         for (const Action& a : actions) carryOut(n, a);
     }
 
+    // Share of all attempts that were sent to servers for which `of` is true.
     double share(const std::function<bool(const Server&)>& of) const {
         double some = 0, all = 0;
         for (std::size_t s = 0; s < servers.size(); ++s)
@@ -118,7 +121,7 @@
                 some += of(servers[s]) ? static_cast<double>(sentTo[s]) : 0;
         return some / std::max(1.0, all);
     }
-    double meanWait() const {
+    double meanWait() const {  // in seconds
         double sum = 0;
         for (const double w : waits) sum += w;
         return sum / std::max<double>(1, waits.size());
@@ -143,7 +146,7 @@
             r.id = nodes[n].next++, r.klass = klass;
             r.timeLeft = settings_.classes[klass].clientTimeout;
             nodes[n].jobs[r.id] = {now, exponential(work), klass, false};
-            tell(n, r);
+            deliver(n, r);
             arriveLater(n, rate, work, klass, end);
         });
     }
@@ -158,7 +161,7 @@
         Job& job = nodes[n].jobs[id];
         if (how == Outcome::ok && !job.ended) job.ended = true, ++served;
         e.requestFinished = job.ended;
-        tell(n, e);
+        deliver(n, e);
     }
 
     void carryOut(std::size_t n, const Action& action) {
@@ -170,7 +173,7 @@
             ++sentTo[to];
             ++sentByKind[{node.jobs[a->id].klass, servers[to].entry.kind}];
             const RequestId id = a->id;
-            at(now + kNetworkDelay, [=, this] { reach(n, to, id, attempt); });
+            at(now + kNetworkDelay, [=, this] { reachServer(n, to, id, attempt); });
         } else if (const auto* c = std::get_if<Cancel>(&action)) {
             ++cancels;
             const auto out = node.out.find({c->id, c->attempt});
@@ -179,7 +182,7 @@
             const Server::Held held{n, c->id, c->attempt, 0};
             const auto id = c->id;
             const auto attempt = c->attempt;
-            at(now + kNetworkDelay, [=, this] { drop(to, held); });
+            at(now + kNetworkDelay, [=, this] { cancelAt(to, held); });
             at(now, [=, this] { end(n, id, attempt, Outcome::cancelled); });
         } else if (const auto* r = std::get_if<Refuse>(&action)) {
             if (!std::exchange(node.jobs[r->id].ended, true)) ++refused, ++refusedOf[node.jobs[r->id].klass];
@@ -187,16 +190,16 @@
             if (!std::exchange(node.jobs[f->id].ended, true)) ++failed;
         } else if (const auto* t = std::get_if<SetTimer>(&action)) {
             const std::uint64_t tag = t->tag;
-            const Dispatcher* const life = node.dispatcher.get();
+            const Dispatcher* const owner = node.dispatcher.get();
             at(now + t->delay, [=, this] {
-                if (nodes[n].dispatcher.get() == life) tell(n, TimerFired{tag});
+                if (nodes[n].dispatcher.get() == owner) deliver(n, TimerFired{tag});
             });
         } else if (std::holds_alternative<Subscribe>(action)) {
             node.subscribed.push_back(now);
         }
     }
 
-    void reach(std::size_t n, std::size_t to, RequestId id, std::uint32_t attempt) {
+    void reachServer(std::size_t n, std::size_t to, RequestId id, std::uint32_t attempt) {
         Server& s = servers[to];
         s.arrivals.emplace_back(now, nodes[n].jobs[id].work);
         if (!s.up) return at(now + kNetworkDelay, [=, this] { end(n, id, attempt, Outcome::connectFailed); });
@@ -204,7 +207,7 @@
         serve(to);
     }
 
-    void drop(std::size_t to, const Server::Held& held) {
+    void cancelAt(std::size_t to, const Server::Held& held) {
         Server& s = servers[to];
         std::erase(s.waiting, held);
         ranTwice += std::erase(s.running, held);
@@ -221,7 +224,7 @@
                 if (!nodes[held.node].out.contains({held.id, held.attempt})) return;
                 waits.push_back(
                     std::chrono::duration<double>(now - nodes[held.node].jobs[held.id].arrived).count());
-                tell(held.node, AttemptProgress{held.id, held.attempt, true, 0});
+                deliver(held.node, AttemptProgress{held.id, held.attempt, true, 0});
             });
             at(now + Nanos(static_cast<std::int64_t>(held.work / s.speed * 1e9)), [=, this] {
                 if (std::erase(servers[to].running, held) == 0) return;
@@ -233,7 +236,7 @@
 
     Settings settings_;
     std::mt19937_64 random_;
-    std::priority_queue<Entry> agenda_;
+    std::priority_queue<Entry> events_;
     std::uint64_t order_ = 0;
 };
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -410,7 +410,7 @@
     EXPECT_TRUE(d.actions.empty());
 }
 
-TEST(Answers, AClientThatLeftIsOwedNothing) {
+TEST(Answers, AClientThatLeftGetsNoAnswer) {
     Settings s = plainSettings();
     s.mayCancel = true;
     Drive d(s);
@@ -498,7 +498,7 @@
     EXPECT_TRUE(tried);
 }
 
-TEST(Health, TellsHowManyAreAvoided) {
+TEST(Health, CountsAvoidedWorkers) {
     Drive drive(plainSettings());
     drive.fleet(8);
     EXPECT_EQ(drive.dispatcher.avoidedWorkerCount(), 0u);
@@ -784,7 +784,7 @@
 }
 
 // Admission must not stay closed: while it refuses, few jobs remain that could show that there is room again.
-TEST(Admission, TheDoorOpensByTimeWhenThereIsRoomAgain) {
+TEST(Admission, ReopensWithTimeWhenThereIsRoomAgain) {
     Drive d(plainSettings());
     d.fleet(20);
     for (int i = 0; i < 200; ++i) {
@@ -830,13 +830,13 @@
     return s;
 }
 
-// Workers of size 4. tell() sets how many jobs they hold for each core; each job takes half a second.
-struct Live : Drive {
-    explicit Live(Settings s = liveSettings()) : Drive(std::move(s)) {
-        tell({0, 0, 0, 0});
+// Workers of size 4. reportLoad() sets how many jobs they hold for each core; each job takes half a second.
+struct LiveDrive : Drive {
+    explicit LiveDrive(Settings s = liveSettings()) : Drive(std::move(s)) {
+        reportLoad({0, 0, 0, 0});
         for (int i = 0; i < 40; ++i) serveHinted(milliseconds(500), milliseconds(500));
     }
-    void tell(const std::vector<double>& held) {
+    void reportLoad(const std::vector<double>& held) {
         std::vector<RosterEntry> entries;
         for (const double h : held)
             entries.push_back(worker(static_cast<Worker>(entries.size()), 4 / (1 + h)));
@@ -846,7 +846,7 @@
         const RequestId id = arrive(seconds(5), 0, hint);
         now += took;
         end(id, Outcome::ok);
-        tell({0, 0, 0, 0});
+        reportLoad({0, 0, 0, 0});
     }
     bool takes(std::uint32_t klass) {  // ends the job at once, so that own jobs do not add up
         const RequestId id = arrive(seconds(5), klass, milliseconds(500));
@@ -858,8 +858,8 @@
 
 // A job sent to a worker with a long reported queue is late, and cancelling it frees no capacity.
 TEST(Lists, AWorkerWhoseQueueIsTooLongGetsNothing) {
-    Live d;
-    d.tell({6, 0, 6, 0});
+    LiveDrive d;
+    d.reportLoad({6, 0, 6, 0});
     for (int i = 0; i < 12; ++i) {
         const RequestId id = d.arrive(seconds(5), 0, milliseconds(500));
         EXPECT_EQ(d.sentTo() % 2, 1u) << i;
@@ -868,13 +868,13 @@
 }
 
 TEST(Lists, AJobThatNoneCanStartInTimeIsRefusedAtOnceWithATimeToComeBack) {
-    Live d;
-    d.tell({6, 6, 6, 6});
+    LiveDrive d;
+    d.reportLoad({6, 6, 6, 6});
     d.arrive(seconds(5), 0, milliseconds(500));
     ASSERT_EQ(d.all<Refuse>().size(), 1u);
     EXPECT_GT(d.all<Refuse>()[0].retryAfter, Nanos(0));
     EXPECT_TRUE(d.all<Send>().empty());
-    d.tell({6, 6, 0, 6});
+    d.reportLoad({6, 6, 0, 6});
     d.arrive(seconds(5), 0, milliseconds(500));
     EXPECT_EQ(d.sentTo(), 2u);
 }
@@ -882,14 +882,14 @@
 // Own jobs sent since the last list count as held; otherwise all jobs between two lists go to the same
 // workers.
 TEST(Lists, OwnJobsSinceTheListCount) {
-    Live d;
-    d.tell({0.9, 0.9, 0.9, 0.9});
+    LiveDrive d;
+    d.reportLoad({0.9, 0.9, 0.9, 0.9});
     int sent = 0;
     for (int i = 0; i < 60; ++i) d.arrive(seconds(5), 0, milliseconds(500)), sent += !d.all<Send>().empty();
     EXPECT_GE(sent, 8);
     EXPECT_LE(sent, 24);
     for (int i = 0; i < 60; ++i) {  // one at a time: ended jobs no longer count
-        d.tell({0.9, 0.9, 0.9, 0.9});
+        d.reportLoad({0.9, 0.9, 0.9, 0.9});
         for (int job = 0; job < 10; ++job) EXPECT_TRUE(d.takes(0));
     }
 }
@@ -900,10 +900,11 @@
     for (const double worth : {1.0, 20.0}) {
         Settings s = liveSettings();
         s.classes[1].worth = worth;
-        Live d(s);
+        LiveDrive d(s);
         int low = 0, high = 0;
         for (int i = 0; i < 40; ++i) {
-            d.tell({4, 4, 4, 4});  // a wait of 1.5 s; the slack is 0.8 s for class 0 and 3.5 s for class 1
+            // A wait of 1.5 s; the slack is 0.8 s for class 0 and 3.5 s for class 1.
+            d.reportLoad({4, 4, 4, 4});
             low += d.takes(0), high += d.takes(1);
         }
         EXPECT_EQ(low, 0);
@@ -914,11 +915,11 @@
 // Expected job times come from a ratio of sums: in a mean of ratios one hint that is far too small would
 // affect all jobs.
 TEST(Lists, OneFarTooSmallHintSaysNothingOfOtherJobs) {
-    Live d;
+    LiveDrive d;
     d.serveHinted(milliseconds(1), milliseconds(500));
-    d.tell({4, 4, 4, 4});  // a wait of 1.5 s
+    d.reportLoad({4, 4, 4, 4});  // a wait of 1.5 s
     EXPECT_FALSE(d.takes(0));
-    d.tell({1.5, 1.5, 1.5, 1.5});
+    d.reportLoad({1.5, 1.5, 1.5, 1.5});
     EXPECT_TRUE(d.takes(0));
     Drive fresh(liveSettings());
     fresh.roster({worker(0, 4), worker(1, 4)});
@@ -934,8 +935,8 @@
 // getting jobs.
 TEST(Lists, ASilentWorkerIsLeftAloneAndABusyOneIsNot) {
     for (const bool hung : {false, true}) {
-        Live d;
-        d.tell({0, 6, 6, 6});
+        LiveDrive d;
+        d.reportLoad({0, 6, 6, 6});
         const RequestId waits = d.arrive(seconds(5), 0, milliseconds(500));
         ASSERT_EQ(d.sentTo(), 0u);
         const RequestId runs = d.arrive(seconds(5), 0, milliseconds(500));
@@ -972,7 +973,7 @@
 
 // --- admission ---
 
-TEST(Admission, AJamIsRefusedAtTheDoorAndClears) {
+TEST(Admission, AJamIsRefusedOnArrivalAndClears) {
     Drive d(plainSettings());
     d.roster({worker(0), worker(1)});
     for (int i = 0; i < 200; ++i) d.serve(milliseconds(50));
@@ -997,7 +998,7 @@
     EXPECT_EQ(refused, 0);
 }
 
-TEST(Admission, TheLeastWorthGoesFirst) {
+TEST(Admission, TheLeastWorthIsRefusedFirst) {
     Settings s = plainSettings();
     s.classes.push_back(s.classes[0]);
     s.classes[1].worth = 8;
