--- a/tests/fleet_world.hpp
+++ b/tests/fleet_world.hpp
@@ -1,4 +1,5 @@
-// Many dispatchers against one small farm, on a clock of its own: what none of them does alone shows here.
+// A simulated world of many dispatchers and a few servers, with its own clock. It shows effects that arise
+// only from dispatchers together.
 #pragma once
 
 #include <deque>
@@ -30,7 +31,7 @@
     };
     std::deque<Held> waiting;
     std::vector<Held> running;
-    std::vector<std::pair<Time, double>> arrivals;  // with their work
+    std::vector<std::pair<Time, double>> arrivals;  // times of arrival, with the work in seconds
 };
 
 class World {
@@ -59,22 +60,22 @@
     std::map<std::pair<std::uint32_t, int>, std::uint64_t> sentByKind;  // class and kind
     std::map<std::uint32_t, std::uint64_t> refusedOf;                   // by class
 
-    World(const Settings& settings, std::vector<Server> farm, std::uint64_t seed)
-        : servers(std::move(farm)), settings_(settings), random_(seed) {
+    World(const Settings& settings, std::vector<Server> initial, std::uint64_t seed)
+        : servers(std::move(initial)), settings_(settings), random_(seed) {
         sentTo.resize(servers.size());
-        for (std::uint32_t me = 0; me < settings.fleetSize; ++me) {
+        for (std::uint32_t me = 0; me < settings.schedulerCount; ++me) {
             nodes.emplace_back();
             restart(me);
         }
     }
 
-    // As after a kill: empty knowledge and the list that was known.
+    // Restarts a dispatcher as after a kill: its state is empty, and it gets the roster known before.
     void restart(std::size_t me, RosterMode mode = RosterMode::stale) {
         Settings own = settings_;
-        own.me = static_cast<std::uint32_t>(me), own.zone = zoneOf(me);
+        own.schedulerIndex = static_cast<std::uint32_t>(me), own.zone = zoneOf(me);
         nodes[me] = Node();
         nodes[me].dispatcher = std::make_unique<Dispatcher>(own, random_());
-        tell(me, list(mode));
+        deliver(me, list(mode));
     }
 
     RosterUpdate list(RosterMode mode) const {
@@ -84,32 +85,35 @@
         return update;
     }
 
-    // Jobs come to every node (of that zone, if one is given), `perSecond` at each, of exponential work of
-    // that mean, until `end`.
-    void offer(double perSecond, double meanWork, std::uint32_t klass, Time end, int zone = -1) {
+    // Sends jobs to every node (of that zone, if one is given) until `end`: `perSecond` at each node, with
+    // exponentially distributed work of that mean, in seconds.
+    void offerLoad(double perSecond, double meanWork, std::uint32_t klass, Time end, int zone = -1) {
         for (std::size_t n = 0; n < nodes.size(); ++n)
             if (zone < 0 || zoneOf(n) == zone) arriveLater(n, perSecond, meanWork, klass, end);
     }
     int zoneOf(std::size_t n) const { return static_cast<int>(n) % settings_.zones; }
 
-    void at(Time when, std::function<void()> what) { agenda_.push({when, order_++, std::move(what)}); }
+    // Calls `what` at that time.
+    void at(Time when, std::function<void()> what) { events_.push({when, order_++, std::move(what)}); }
 
     void run(Time until) {
-        while (!agenda_.empty() && agenda_.top().when <= until) {
-            const Entry next = agenda_.top();
-            agenda_.pop();
+        while (!events_.empty() && events_.top().when <= until) {
+            const Entry next = events_.top();
+            events_.pop();
             now = std::max(now, next.when);
             next.what();
         }
         now = until;
     }
 
-    void tell(std::size_t n, const Event& event) {
+    // Passes an event to a node's dispatcher and carries out the resulting actions.
+    void deliver(std::size_t n, const Event& event) {
         std::vector<Action> actions;
         nodes[n].dispatcher->on(now, event, actions);
         for (const Action& a : actions) carryOut(n, a);
     }
 
+    // Share of all attempts that were sent to servers for which `of` is true.
     double share(const std::function<bool(const Server&)>& of) const {
         double some = 0, all = 0;
         for (std::size_t s = 0; s < servers.size(); ++s)
@@ -117,14 +121,14 @@
                 some += of(servers[s]) ? static_cast<double>(sentTo[s]) : 0;
         return some / std::max(1.0, all);
     }
-    double meanWait() const {
+    double meanWait() const {  // in seconds
         double sum = 0;
         for (const double w : waits) sum += w;
         return sum / std::max<double>(1, waits.size());
     }
 
 private:
-    static constexpr Nanos kWay = std::chrono::microseconds(500);
+    static constexpr Nanos kNetworkDelay = std::chrono::microseconds(500);
     struct Entry {
         Time when;
         std::uint64_t order;
@@ -140,9 +144,9 @@
         at(when, [=, this] {
             RequestArrived r;
             r.id = nodes[n].next++, r.klass = klass;
-            r.timeLeft = settings_.classes[klass].giveUp;
+            r.timeLeft = settings_.classes[klass].clientTimeout;
             nodes[n].jobs[r.id] = {now, exponential(work), klass, false};
-            tell(n, r);
+            deliver(n, r);
             arriveLater(n, rate, work, klass, end);
         });
     }
@@ -152,12 +156,12 @@
         if (out == nodes[n].out.end()) return;
         AttemptEnded e;
         e.id = id, e.attempt = attempt, e.outcome = how;
-        e.took = now - out->second.second;
+        e.duration = now - out->second.second;
         nodes[n].out.erase(out);
         Job& job = nodes[n].jobs[id];
         if (how == Outcome::ok && !job.ended) job.ended = true, ++served;
-        e.settled = job.ended;
-        tell(n, e);
+        e.requestFinished = job.ended;
+        deliver(n, e);
     }
 
     void carryOut(std::size_t n, const Action& action) {
@@ -169,7 +173,7 @@
             ++sentTo[to];
             ++sentByKind[{node.jobs[a->id].klass, servers[to].entry.kind}];
             const RequestId id = a->id;
-            at(now + kWay, [=, this] { reach(n, to, id, attempt); });
+            at(now + kNetworkDelay, [=, this] { reachServer(n, to, id, attempt); });
         } else if (const auto* c = std::get_if<Cancel>(&action)) {
             ++cancels;
             const auto out = node.out.find({c->id, c->attempt});
@@ -178,7 +182,7 @@
             const Server::Held held{n, c->id, c->attempt, 0};
             const auto id = c->id;
             const auto attempt = c->attempt;
-            at(now + kWay, [=, this] { drop(to, held); });
+            at(now + kNetworkDelay, [=, this] { cancelAt(to, held); });
             at(now, [=, this] { end(n, id, attempt, Outcome::cancelled); });
         } else if (const auto* r = std::get_if<Refuse>(&action)) {
             if (!std::exchange(node.jobs[r->id].ended, true)) ++refused, ++refusedOf[node.jobs[r->id].klass];
@@ -186,24 +190,24 @@
             if (!std::exchange(node.jobs[f->id].ended, true)) ++failed;
         } else if (const auto* t = std::get_if<SetTimer>(&action)) {
             const std::uint64_t tag = t->tag;
-            const Dispatcher* const life = node.dispatcher.get();
+            const Dispatcher* const owner = node.dispatcher.get();
             at(now + t->delay, [=, this] {
-                if (nodes[n].dispatcher.get() == life) tell(n, TimerFired{tag});
+                if (nodes[n].dispatcher.get() == owner) deliver(n, TimerFired{tag});
             });
         } else if (std::holds_alternative<Subscribe>(action)) {
             node.subscribed.push_back(now);
         }
     }
 
-    void reach(std::size_t n, std::size_t to, RequestId id, std::uint32_t attempt) {
+    void reachServer(std::size_t n, std::size_t to, RequestId id, std::uint32_t attempt) {
         Server& s = servers[to];
         s.arrivals.emplace_back(now, nodes[n].jobs[id].work);
-        if (!s.up) return at(now + kWay, [=, this] { end(n, id, attempt, Outcome::connectFailed); });
+        if (!s.up) return at(now + kNetworkDelay, [=, this] { end(n, id, attempt, Outcome::connectFailed); });
         s.waiting.push_back({n, id, attempt, nodes[n].jobs[id].work});
         serve(to);
     }
 
-    void drop(std::size_t to, const Server::Held& held) {
+    void cancelAt(std::size_t to, const Server::Held& held) {
         Server& s = servers[to];
         std::erase(s.waiting, held);
         ranTwice += std::erase(s.running, held);
@@ -216,23 +220,23 @@
             const Server::Held held = s.waiting.front();
             s.waiting.pop_front();
             s.running.push_back(held);
-            at(now + kWay, [=, this] {
+            at(now + kNetworkDelay, [=, this] {
                 if (!nodes[held.node].out.contains({held.id, held.attempt})) return;
                 waits.push_back(
                     std::chrono::duration<double>(now - nodes[held.node].jobs[held.id].arrived).count());
-                tell(held.node, AttemptNote{held.id, held.attempt, true, 0});
+                deliver(held.node, AttemptProgress{held.id, held.attempt, true, 0});
             });
             at(now + Nanos(static_cast<std::int64_t>(held.work / s.speed * 1e9)), [=, this] {
                 if (std::erase(servers[to].running, held) == 0) return;
                 serve(to);
-                at(now + kWay, [=, this] { end(held.node, held.id, held.attempt, Outcome::ok); });
+                at(now + kNetworkDelay, [=, this] { end(held.node, held.id, held.attempt, Outcome::ok); });
             });
         }
     }
 
     Settings settings_;
     std::mt19937_64 random_;
-    std::priority_queue<Entry> agenda_;
+    std::priority_queue<Entry> events_;
     std::uint64_t order_ = 0;
 };
 
