--- a/src/cluster/storage/message_acceptor.cpp
+++ b/src/cluster/storage/message_acceptor.cpp
@@ -102,7 +102,8 @@
 }
 
 bool MessageAcceptor::acceptNew(OwnedPartition& owned, AcceptMessageRequest& request, Answer answer) {
-    const bool enough_stores = placement_.otherKeepers() >= placement_.tolerated() && placement_.canSpread();
+    const bool enough_stores =
+        placement_.otherCopyStoreCount() >= placement_.tolerated() && placement_.canSpread();
     if (!enough_stores || !hasDiskSpace()) return false;
     const auto record = std::make_shared<MessageRecord>();
     record->partition = owned.id;
--- a/src/cluster/storage/outcome_handler.cpp
+++ b/src/cluster/storage/outcome_handler.cpp
@@ -181,7 +181,8 @@
 
 void OutcomeHandler::writeAndReplicate(const QueueItem& item, const RecordUpdate& update) {
     replica_.merge(update);
-    for (const std::string& store : item.holders) replicator_.noteState(store, item.partition, item.id);
+    for (const std::string& store : item.holders)
+        replicator_.scheduleStateUpdate(store, item.partition, item.id);
 }
 
 void OutcomeHandler::requeue(OwnedPartition& owned, QueueItem& item, DestinationStatus destination) {
--- a/src/cluster/storage/peering.cpp
+++ b/src/cluster/storage/peering.cpp
@@ -39,14 +39,14 @@
     peered_ = std::max(peered_, reply.peered);
 }
 
-bool PeeringRound::enough() const {
+bool PeeringRound::hasQuorum() const {
     if (answered_.size() == others_.size()) return true;
     std::size_t counted = 1;
     std::size_t valid = own_valid_ ? 1 : 0;
     Zones lacking;
     if (!own_valid_) lacking.insert(own_zone_);
     for (const PeerStore& other : others_) {
-        if (!counts(other)) continue;
+        if (!countsForQuorum(other)) continue;
         ++counted;
         if (valid_.contains(other.name)) {
             ++valid;
@@ -56,26 +56,27 @@
     }
     const std::size_t needed = counted > tolerated_ ? counted - tolerated_ : 1;
     // Copies never stand only in zones, or regions, that may all be lost at once.
-    return valid >= needed || (valid > 0 && spread_rule_.mayBeLost(lacking));
+    return valid >= needed || (valid > 0 && spread_rule_.mayAllBeLost(lacking));
 }
 
-bool PeeringRound::counts(const PeerStore& store) const {
+bool PeeringRound::countsForQuorum(const PeerStore& store) const {
     return store.alive || store.away_epoch == 0 || store.away_epoch > peered_;
 }
 
 bool PeeringRound::allAliveAnswered() const {
     return std::all_of(others_.begin(), others_.end(),
-                       [this](const PeerStore& other) { return !other.alive || answered(other.name); });
+                       [this](const PeerStore& other) { return !other.alive || hasAnswered(other.name); });
 }
 
-bool PeeringRound::handedOver() const {
-    return std::all_of(others_.begin(), others_.end(),
-                       [this](const PeerStore& other) { return !other.hands_over || hasTold(other.name); });
+bool PeeringRound::isHandedOver() const {
+    return std::all_of(others_.begin(), others_.end(), [this](const PeerStore& other) {
+        return !other.hands_over || hasReported(other.name);
+    });
 }
 
-bool PeeringRound::emptied() const {
+bool PeeringRound::haveRetiringAnswered() const {
     return std::all_of(others_.begin(), others_.end(), [this](const PeerStore& other) {
-        return !other.alive || other.keeps_copies || answered(other.name);
+        return !other.alive || other.keeps_copies || hasAnswered(other.name);
     });
 }
 
@@ -83,14 +84,15 @@
     return store.alive && store.keeps_copies;
 }
 
-const PeeringRound::Listed* PeeringRound::listed(const std::string& store, const MessageId& id) const {
+const PeeringRound::ListedState* PeeringRound::findListed(const std::string& store,
+                                                          const MessageId& id) const {
     const auto listing = listings_.find(store);
     if (listing == listings_.end()) return nullptr;
     const auto found = listing->second.find(id);
     return found == listing->second.end() ? nullptr : &found->second;
 }
 
-bool PeeringRound::behind(const Listed& listed, const StoredMessage& message) {
+bool PeeringRound::isBehind(const ListedState& listed, const StoredMessage& message) {
     if (phaseRank(listed.phase) < phaseRank(message.phase)) return true;
     if (message.phase == Phase::pending) return listed.failures < message.failures;
     return listed.phase == message.phase && message.callback_done && !listed.callback_done;
@@ -111,9 +113,9 @@
     std::size_t copies = 1;
     Zones zones{own_zone_};
     for (const PeerStore& other : others_) {
-        const Listed* const known = listed(other.name, id);
+        const ListedState* const known = findListed(other.name, id);
         if (!keepsCopies(other) || known == nullptr) continue;
-        if (behind(*known, message)) missing.push_back({other.name, id, false});
+        if (isBehind(*known, message)) missing.push_back({other.name, id, false});
         if (!known->content && needs_content) continue;
         ++copies;
         zones.insert(other.zone);
@@ -122,7 +124,7 @@
         const bool lacks_copies = copies < copies_wanted_;
         const bool lacks_zones = can_spread_ && !spread_rule_.isTrivial() && !spread_rule_.isSpread(zones);
         if (!lacks_copies && !lacks_zones) return;
-        const Listed* const known = listed(other.name, id);
+        const ListedState* const known = findListed(other.name, id);
         const bool has_it = known != nullptr && (known->content || !needs_content);
         const bool adds_zone = !zones.contains(other.zone);
         if (!keepsCopies(other) || has_it || (!lacks_copies && !adds_zone)) continue;
@@ -141,8 +143,8 @@
     return names;
 }
 
-void PeeringRound::copied(const MissingCopy& copy, const RecordUpdate& state) {
-    Listed& listed = listings_[copy.store][copy.id];
+void PeeringRound::onCopied(const MissingCopy& copy, const RecordUpdate& state) {
+    ListedState& listed = listings_[copy.store][copy.id];
     listed.content = listed.content || copy.with_content;
     listed.phase = state.phase;
     listed.failures = state.failures;
--- a/src/cluster/storage/peering.hpp
+++ b/src/cluster/storage/peering.hpp
@@ -43,23 +43,25 @@
                  std::string own_zone = {});
 
     void onReply(const std::string& store, const PullReply& reply);
-    bool answered(const std::string& store) const { return answered_.contains(store); }
+    bool hasAnswered(const std::string& store) const { return answered_.contains(store); }
     // The store's disk fails: it has told what it knows, and counts neither as an answer nor as a copy.
-    void onReplyInDoubt(const std::string& store) { told_.insert(store); }
+    void onNonDurableReply(const std::string& store) { non_durable_replies_.insert(store); }
     // It has told what it knows, whether that counts or not.
-    bool hasTold(const std::string& store) const { return answered(store) || told_.contains(store); }
+    bool hasReported(const std::string& store) const {
+        return hasAnswered(store) || non_durable_replies_.contains(store);
+    }
     // Everything that was ever accepted is among the answers: n - f replicas that lack nothing have answered.
     // n leaves out stores that have been away since before the partition was last peered: everything stood on
     // f + 1 others then, and nothing was accepted with them since.
     // Once all have answered, nothing more can be learned, and it is enough too.
-    bool enough() const;
+    bool hasQuorum() const;
     bool allAliveAnswered() const;
     // False while a store that hands the partition over has not told what it knows.
-    bool handedOver() const;
+    bool isHandedOver() const;
     // False while a live store that is retiring has not told what it knows.
-    bool emptied() const;
+    bool haveRetiringAnswered() const;
     // f + 1 copies can be made; else no replica may be called valid.
-    bool enoughAlive() const { return copies_wanted_ == std::size_t{tolerated_} + 1 && can_spread_; }
+    bool canReachRedundancy() const { return copies_wanted_ == std::size_t{tolerated_} + 1 && can_spread_; }
     // What must be copied so that each live message, and each end, stands on f + 1 live stores, and so that
     // no store that answered is behind. `skip` leaves out messages whose accept is still under way.
     std::vector<MissingCopy> missing(const Replica& replica,
@@ -69,22 +71,22 @@
     const std::vector<PeerStore>& others() const { return others_; }
     PartitionId partition() const { return partition_; }
     // The copy has been made.
-    void copied(const MissingCopy& copy, const RecordUpdate& state);
+    void onCopied(const MissingCopy& copy, const RecordUpdate& state);
 
 private:
-    struct Listed {
+    struct ListedState {
         Phase phase = Phase::pending;
         std::uint32_t failures = 0;
         bool callback_done = false;
         bool content = false;
     };
-    using Listing = std::unordered_map<MessageId, Listed>;
+    using Listing = std::unordered_map<MessageId, ListedState>;
 
     static bool keepsCopies(const PeerStore& store);
     // Whether the store may hold something accepted that no other store holds.
-    bool counts(const PeerStore& store) const;
-    const Listed* listed(const std::string& store, const MessageId& id) const;
-    static bool behind(const Listed& listed, const StoredMessage& message);
+    bool countsForQuorum(const PeerStore& store) const;
+    const ListedState* findListed(const std::string& store, const MessageId& id) const;
+    static bool isBehind(const ListedState& listed, const StoredMessage& message);
     void addMissing(const MessageId& id, const StoredMessage& message,
                     std::vector<MissingCopy>& missing) const;
 
@@ -98,9 +100,9 @@
     std::size_t copies_wanted_;  // with this store's own
     bool can_spread_ = true;     // copies at all that keep them would stand in zones and regions enough
     std::set<std::string> answered_;
-    std::set<std::string> valid_;              // of those, the ones that lack nothing
-    std::set<std::string> told_;               // in doubt
-    std::map<std::string, Listing> listings_;  // by store: what it holds
+    std::set<std::string> valid_;                // of those, the ones that lack nothing
+    std::set<std::string> non_durable_replies_;  // in doubt
+    std::map<std::string, Listing> listings_;    // by store: what it holds
 };
 
 }  // namespace amberswitch::cluster::storage
--- a/src/cluster/storage/peering_driver.cpp
+++ b/src/cluster/storage/peering_driver.cpp
@@ -9,19 +9,19 @@
 
 constexpr Millis kPullTimeout{1000};
 constexpr Millis kPullRetry{200};
-constexpr Millis kPullRetryOfDead{1000};
-constexpr Millis kPullRetryInDoubt{1000};
+constexpr Millis kUnreachablePullRetry{1000};
+constexpr Millis kFailedDiskPullRetry{1000};
 constexpr Millis kCopyRetry{200};
 constexpr Millis kDoneTimeout{1000};
 // Live stores that have not answered are waited for this long though enough others have.
-constexpr Millis kWaitForLive{300};
+constexpr Millis kLiveStoreWait{300};
 // A previous owner that is still there is waited for this long: what it doesn't tell would run again.
-constexpr Millis kWaitForHandOver{1500};
-constexpr int kMostPullsOfLive = 16;
-constexpr int kMostPullsOfDead = 8;
+constexpr Millis kHandOverWait{1500};
+constexpr int kMaxPullsFromReachable = 16;
+constexpr int kMaxPullsFromUnreachable = 8;
 
 // The store has synced what peering_done changes; its disk may fail instead.
-bool isTaken(const CallResult& result) {
+bool isAcknowledged(const CallResult& result) {
     if (result.verdict != Verdict::answered) return false;
     const auto answer = decode<Acknowledgement>(result.reply.body);
     return answer && answer->done;
@@ -42,8 +42,8 @@
 
 void PeeringDriver::start(PartitionId partition, std::vector<PeerStore> others) {
     rounds_.erase(partition);
-    PeeringRound logic(partition, std::move(others), placement_.tolerated(), replica_.valid(partition),
-                       replica_.peered(partition), placement_.spreadRule(), placement_.zone());
+    PeeringRound logic(partition, std::move(others), placement_.tolerated(), replica_.isValid(partition),
+                       replica_.peeredEpoch(partition), placement_.spreadRule(), placement_.zone());
     Round& round = rounds_.emplace(partition, Round(std::move(logic))).first->second;
     const std::uint64_t id = ++last_round_;
     round.id = id;
@@ -51,15 +51,15 @@
     round.started = clock_.now();
     replica_.promise(partition, round.epoch);
     syncOwnPromise(partition, round);
-    pullWherePossible();
+    startPulls();
 }
 
 void PeeringDriver::syncOwnPromise(PartitionId partition, Round& round) {
-    if (round.own_promise_durable || std::exchange(round.own_sync_under_way, true)) return;
+    if (round.own_promise_durable || std::exchange(round.own_sync_in_progress, true)) return;
     replica_.sync([this, partition, id = round.id](bool durable) {
         Round* const promised = findRound(partition, id);
         if (promised == nullptr) return;
-        promised->own_sync_under_way = false;
+        promised->own_sync_in_progress = false;
         promised->own_promise_durable = durable;
         if (durable) advance(partition, id);
     });
@@ -71,7 +71,7 @@
 }
 
 void PeeringDriver::tick() {
-    pullWherePossible();
+    startPulls();
     std::vector<std::pair<PartitionId, std::uint64_t>> rounds;
     for (auto& [partition, round] : rounds_) {
         syncOwnPromise(partition, round);
@@ -80,27 +80,27 @@
     for (const auto& [partition, id] : rounds) advance(partition, id);
 }
 
-void PeeringDriver::pullWherePossible() {
+void PeeringDriver::startPulls() {
     for (auto& [partition, round] : rounds_) {
         for (const PeerStore& store : round.logic.others()) {
-            const bool room =
-                answersSoon(store) ? pulls_of_live_ < kMostPullsOfLive : pulls_of_dead_ < kMostPullsOfDead;
+            const bool room = isReachable(store) ? pulls_from_reachable_ < kMaxPullsFromReachable
+                                                 : pulls_from_unreachable_ < kMaxPullsFromUnreachable;
             if (room && wantsPull(round, store)) pull(partition, round, store);
         }
     }
 }
 
-bool PeeringDriver::answersSoon(const PeerStore& store) {
+bool PeeringDriver::isReachable(const PeerStore& store) {
     return store.alive || store.hands_over;
 }
 
 bool PeeringDriver::wantsPull(const Round& round, const PeerStore& store) const {
-    if (round.logic.answered(store.name)) return false;
-    if (!answersSoon(store) && round.enough) return false;
+    if (round.logic.hasAnswered(store.name)) return false;
+    if (!isReachable(store) && round.has_quorum) return false;
     // A view in which its disk works again begins a new round.
-    if (!store.alive && round.enough && round.logic.hasTold(store.name)) return false;
+    if (!store.alive && round.has_quorum && round.logic.hasReported(store.name)) return false;
     const auto pull = round.pulls.find(store.name);
-    return pull == round.pulls.end() || (!pull->second.under_way && pull->second.next <= clock_.now());
+    return pull == round.pulls.end() || (!pull->second.in_progress && pull->second.next <= clock_.now());
 }
 
 void PeeringDriver::pull(PartitionId partition, Round& round, const PeerStore& store) {
@@ -116,15 +116,15 @@
     request.joined_epoch = member->joined_epoch;
     request.joined_incarnation = member->joined_incarnation;
     Pull& pull = round.pulls[store.name];
-    pull.under_way = true;
-    pull.next = clock_.now() + (answersSoon(store) ? kPullRetry : kPullRetryOfDead);
-    int& counter = answersSoon(store) ? pulls_of_live_ : pulls_of_dead_;
+    pull.in_progress = true;
+    pull.next = clock_.now() + (isReachable(store) ? kPullRetry : kUnreachablePullRetry);
+    int& counter = isReachable(store) ? pulls_from_reachable_ : pulls_from_unreachable_;
     ++counter;
     transport_.call(member->member.address, envelope(MessageKind::pull_partition, request), kPullTimeout,
                     [this, partition, id = round.id, name = store.name, &counter](const CallResult& result) {
                         --counter;
                         onPullResult(partition, id, name, result);
-                        pullWherePossible();
+                        startPulls();
                     });
 }
 
@@ -132,7 +132,7 @@
                                  const CallResult& result) {
     Round* const round = findRound(partition, id);
     if (round == nullptr) return;
-    round->pulls[store].under_way = false;
+    round->pulls[store].in_progress = false;
     if (result.verdict != Verdict::answered) return;
     auto reply = decode<PullReply>(result.reply.body);
     if (!reply) return;
@@ -140,8 +140,8 @@
         rounds_.erase(partition);
         return;
     }
-    noteReply(partition, *round, store, *reply);
-    const bool active = round->enough;
+    recordReply(partition, *round, store, *reply);
+    const bool active = round->has_quorum;
     const std::vector<MessageId> touched = merge(partition, *reply);
     if (active) {
         round->copies_made = false;
@@ -151,15 +151,15 @@
     advance(partition, id);
 }
 
-void PeeringDriver::noteReply(PartitionId partition, Round& round, const std::string& store,
-                              const PullReply& reply) {
+void PeeringDriver::recordReply(PartitionId partition, Round& round, const std::string& store,
+                                const PullReply& reply) {
     // An answer that is not whole tells no running attempts; the rest is asked for at the usual pace.
-    const bool first = !round.logic.hasTold(store);
+    const bool first = !round.logic.hasReported(store);
     if (first) round.running.insert(round.running.end(), reply.running.begin(), reply.running.end());
     if (reply.in_doubt) {
         if (!reply.whole) return;
-        round.logic.onReplyInDoubt(store);
-        round.pulls[store].next = clock_.now() + kPullRetryInDoubt;
+        round.logic.onNonDurableReply(store);
+        round.pulls[store].next = clock_.now() + kFailedDiskPullRetry;
         return;
     }
     if (reply.whole) round.logic.onReply(store, reply);
@@ -189,19 +189,19 @@
 void PeeringDriver::advance(PartitionId partition, std::uint64_t id) {
     Round* round = findRound(partition, id);
     if (round == nullptr || !round->own_promise_durable) return;
-    if (!round->enough) {
-        const bool waited = round->started + kWaitForLive <= clock_.now();
-        const bool waited_long = round->started + kWaitForHandOver <= clock_.now();
-        if (!round->logic.enough() || !(round->logic.allAliveAnswered() || waited)) return;
-        if (!round->logic.handedOver() && !waited_long) return;
-        round->enough = true;
-        hooks_.on_enough(partition, round->running);
+    if (!round->has_quorum) {
+        const bool waited = round->started + kLiveStoreWait <= clock_.now();
+        const bool waited_long = round->started + kHandOverWait <= clock_.now();
+        if (!round->logic.hasQuorum() || !(round->logic.allAliveAnswered() || waited)) return;
+        if (!round->logic.isHandedOver() && !waited_long) return;
+        round->has_quorum = true;
+        hooks_.on_quorum(partition, round->running);
         round = findRound(partition, id);
         if (round == nullptr) return;
     }
     if (round->copies_made) {
-        tellDone(partition, *round);
-    } else if (round->copies_under_way == 0 && round->next_copies <= clock_.now()) {
+        notifyDone(partition, *round);
+    } else if (round->copies_in_progress == 0 && round->next_copies <= clock_.now()) {
         makeCopies(partition, *round);
     }
 }
@@ -212,7 +212,7 @@
     round.copy_failed = false;
     round.next_copies = clock_.now() + kCopyRetry;
     for (const MissingCopy& copy : missing) makeCopy(partition, round, copy);
-    if (round.copies_under_way == 0 && !round.copy_failed) onCopiesMade(partition, round);
+    if (round.copies_in_progress == 0 && !round.copy_failed) onCopiesMade(partition, round);
 }
 
 void PeeringDriver::makeCopy(PartitionId partition, Round& round, const MissingCopy& copy) {
@@ -224,7 +224,7 @@
         onCopy(partition, id, copy, state, outcome);
     };
     if (!copy.with_content) {
-        ++round.copies_under_way;
+        ++round.copies_in_progress;
         replicator_.sendState(copy.store, round.epoch, state, done);
         return;
     }
@@ -233,7 +233,7 @@
         round.copy_failed = true;
         return;
     }
-    ++round.copies_under_way;
+    ++round.copies_in_progress;
     replicator_.sendRecord(copy.store, round.epoch, std::make_shared<MessageRecord>(std::move(*record)),
                            done);
 }
@@ -242,14 +242,14 @@
                            const RecordUpdate& state, ReplicateOutcome outcome) {
     Round* const round = findRound(partition, id);
     if (round == nullptr) return;
-    --round->copies_under_way;
+    --round->copies_in_progress;
     if (outcome == ReplicateOutcome::stored) {
-        round->logic.copied(copy, state);
+        round->logic.onCopied(copy, state);
         if (copy.with_content) hooks_.on_holder(partition, copy.id, copy.store);
     } else {
         round->copy_failed = true;
     }
-    if (round->copies_under_way > 0 || round->copy_failed) return;
+    if (round->copies_in_progress > 0 || round->copy_failed) return;
     // What changed meanwhile is sent as usual to those that hold the content.
     onCopiesMade(partition, *round);
 }
@@ -259,39 +259,39 @@
     round.next_copies = clock_.now() + kCopyRetry;
     replica_.sync([this, partition, id](bool durable) {
         Round* const finished = findRound(partition, id);
-        if (finished == nullptr || !durable || finished->copies_under_way > 0) return;
+        if (finished == nullptr || !durable || finished->copies_in_progress > 0) return;
         finished->copies_made = true;
-        if (!mayBeDone(*finished)) return;
+        if (!canBeDone(*finished)) return;
         replica_.markValid(partition, finished->epoch);
         hooks_.on_done(partition, finished->epoch);
-        tellDone(partition, *finished);
+        notifyDone(partition, *finished);
     });
 }
 
-bool PeeringDriver::mayBeDone(const Round& round) {
-    return round.logic.enoughAlive() && round.logic.emptied();
+bool PeeringDriver::canBeDone(const Round& round) {
+    return round.logic.canReachRedundancy() && round.logic.haveRetiringAnswered();
 }
 
-void PeeringDriver::tellDone(PartitionId partition, Round& round) {
-    if (!mayBeDone(round)) return;
+void PeeringDriver::notifyDone(PartitionId partition, Round& round) {
+    if (!canBeDone(round)) return;
     for (const PeerStore& store : round.logic.others()) {
-        if (!store.alive || !round.logic.answered(store.name) || round.told_done.contains(store.name))
+        if (!store.alive || !round.logic.hasAnswered(store.name) || round.notified_done.contains(store.name))
             continue;
         const StoreMember* const member = placement_.member(store.name);
         if (member == nullptr) continue;
-        round.told_done.insert(store.name);
+        round.notified_done.insert(store.name);
         const PeeringDone message{placement_.self(), partition, round.epoch};
         transport_.call(member->member.address, envelope(MessageKind::peering_done, message), kDoneTimeout,
                         [this, partition, id = round.id, name = store.name](const CallResult& result) {
                             Round* const told = findRound(partition, id);
                             if (told == nullptr) return;
-                            if (isTaken(result)) return finishIfAllTold(partition, *told, name);
-                            told->told_done.erase(name);  // the next tick tries again
+                            if (isAcknowledged(result)) return finishIfAllConfirmed(partition, *told, name);
+                            told->notified_done.erase(name);  // the next tick tries again
                         });
     }
 }
 
-void PeeringDriver::finishIfAllTold(PartitionId partition, Round& round, const std::string& store) {
+void PeeringDriver::finishIfAllConfirmed(PartitionId partition, Round& round, const std::string& store) {
     round.confirmed_done.insert(store);
     if (!round.copies_made || !round.logic.allAliveAnswered()) return;
     for (const PeerStore& other : round.logic.others()) {
@@ -312,9 +312,9 @@
     return sum;
 }
 
-std::size_t PeeringDriver::copiesLacking() const {
+std::size_t PeeringDriver::copiesInProgress() const {
     std::size_t sum = 0;
-    for (const auto& [partition, round] : rounds_) sum += round.copies_under_way;
+    for (const auto& [partition, round] : rounds_) sum += round.copies_in_progress;
     return sum;
 }
 
--- a/src/cluster/storage/peering_driver.hpp
+++ b/src/cluster/storage/peering_driver.hpp
@@ -21,8 +21,8 @@
 public:
     struct Hooks {
         // Enough have answered: the partition may become active. Runs once per start().
-        std::function<void(PartitionId, const std::vector<RunningAttempt>& running)> on_enough;
-        // Something new was learned of these messages after on_enough.
+        std::function<void(PartitionId, const std::vector<RunningAttempt>& running)> on_quorum;
+        // Something new was learned of these messages after on_quorum.
         std::function<void(PartitionId, const std::vector<MessageId>& touched)> on_merged;
         // The store has the content of the message.
         std::function<void(PartitionId, const MessageId&, const std::string& store)> on_holder;
@@ -47,11 +47,11 @@
     // Partitions of which copies are still to be made.
     std::size_t unfinished() const;
     // Copies that were found missing and are not made yet.
-    std::size_t copiesLacking() const;
+    std::size_t copiesInProgress() const;
 
 private:
     struct Pull {
-        bool under_way = false;
+        bool in_progress = false;
         SteadyTime next;
     };
     struct Round {
@@ -62,29 +62,29 @@
         PeeringRound logic;
         SteadyTime started;
         bool own_promise_durable = false;
-        bool own_sync_under_way = false;
-        bool enough = false;
+        bool own_sync_in_progress = false;
+        bool has_quorum = false;
         bool copies_made = false;
-        std::size_t copies_under_way = 0;
+        std::size_t copies_in_progress = 0;
         bool copy_failed = false;
         SteadyTime next_copies;
         std::vector<RunningAttempt> running;
         std::map<std::string, Pull> pulls;
-        std::set<std::string> told_done;       // peering_done is under way or taken
+        std::set<std::string> notified_done;   // peering_done is under way or taken
         std::set<std::string> confirmed_done;  // taken
     };
 
     Round* findRound(PartitionId partition, std::uint64_t id);
     // Until this store's own promise is durable; its disk may fail meanwhile.
     void syncOwnPromise(PartitionId partition, Round& round);
-    void pullWherePossible();
+    void startPulls();
     // Such a store is asked first and often.
-    static bool answersSoon(const PeerStore& store);
+    static bool isReachable(const PeerStore& store);
     bool wantsPull(const Round& round, const PeerStore& store) const;
     void pull(PartitionId partition, Round& round, const PeerStore& store);
     void onPullResult(PartitionId partition, std::uint64_t id, const std::string& store,
                       const CallResult& result);
-    void noteReply(PartitionId partition, Round& round, const std::string& store, const PullReply& reply);
+    void recordReply(PartitionId partition, Round& round, const std::string& store, const PullReply& reply);
     std::vector<MessageId> merge(PartitionId partition, PullReply& reply);
     void advance(PartitionId partition, std::uint64_t id);
     void makeCopies(PartitionId partition, Round& round);
@@ -93,10 +93,10 @@
                 ReplicateOutcome outcome);
     void onCopiesMade(PartitionId partition, Round& round);
     // Replicas may be called valid once the copies are made.
-    static bool mayBeDone(const Round& round);
-    void tellDone(PartitionId partition, Round& round);
+    static bool canBeDone(const Round& round);
+    void notifyDone(PartitionId partition, Round& round);
     // Forgets a round of which nothing more can come.
-    void finishIfAllTold(PartitionId partition, Round& round, const std::string& store);
+    void finishIfAllConfirmed(PartitionId partition, Round& round, const std::string& store);
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -106,8 +106,8 @@
     const StoreClock& clock_;
     Hooks hooks_;
     std::uint64_t last_round_ = 0;
-    int pulls_of_live_ = 0;
-    int pulls_of_dead_ = 0;
+    int pulls_from_reachable_ = 0;
+    int pulls_from_unreachable_ = 0;
     std::map<PartitionId, Round> rounds_;
 };
 
--- a/src/cluster/storage/placement.cpp
+++ b/src/cluster/storage/placement.cpp
@@ -58,13 +58,13 @@
     std::vector<std::string> names;
     names.reserve(candidates.size());
     for (Candidate& candidate : candidates) names.push_back(std::move(candidate.name));
-    if (!spread_rule_.isTrivial()) spreadFirst(names);
+    if (!spread_rule_.isTrivial()) moveSpreadFirst(names);
     return names;
 }
 
 // Brings the stores to the front that hold the copies: near ones, and where zones or regions are lacking for
 // as many copies as are left, the nearest that add one.
-void Placement::spreadFirst(std::vector<std::string>& names) const {
+void Placement::moveSpreadFirst(std::vector<std::string>& names) const {
     Zones zones{zone_};
     auto place = names.begin();
     for (std::size_t copies_left = tolerated(); copies_left > 0 && place != names.end(); --copies_left) {
@@ -79,8 +79,8 @@
 std::vector<std::string>::iterator Placement::nextCopy(std::vector<std::string>::iterator first,
                                                        std::vector<std::string>::iterator last,
                                                        const Zones& zones, std::size_t copies_left) const {
-    const bool needs_region = spread_rule_.regionsLacking(zones) >= copies_left;
-    const bool needs_zone = spread_rule_.zonesLacking(zones) >= copies_left;
+    const bool needs_region = spread_rule_.missingRegions(zones) >= copies_left;
+    const bool needs_zone = spread_rule_.missingZones(zones) >= copies_left;
     return std::find_if(first, last, [&](const std::string& name) {
         const std::string& zone = member(name)->member.zone;
         if (!keepsCopies(name)) return false;
@@ -100,14 +100,14 @@
 
 bool Placement::canSpread() const {
     if (spread_rule_.isTrivial()) return true;
-    std::set<std::string> keepers;
+    std::set<std::string> copy_stores;
     for (const StoreMember& store : view_->stores) {
-        if (store.keepsCopies()) keepers.insert(store.member.name);
+        if (store.keepsCopies()) copy_stores.insert(store.member.name);
     }
-    return isSpread(keepers);
+    return isSpread(copy_stores);
 }
 
-std::size_t Placement::otherKeepers() const {
+std::size_t Placement::otherCopyStoreCount() const {
     if (!view_) return 0;
     return static_cast<std::size_t>(
         std::count_if(view_->stores.begin(), view_->stores.end(),
--- a/src/cluster/storage/placement.hpp
+++ b/src/cluster/storage/placement.hpp
@@ -49,10 +49,10 @@
     // Those of them that keep copies.
     std::vector<std::string> replicaOrder(PartitionId partition) const;
     // How many other stores keep copies.
-    std::size_t otherKeepers() const;
+    std::size_t otherCopyStoreCount() const;
 
 private:
-    void spreadFirst(std::vector<std::string>& names) const;
+    void moveSpreadFirst(std::vector<std::string>& names) const;
     std::vector<std::string>::iterator nextCopy(std::vector<std::string>::iterator first,
                                                 std::vector<std::string>::iterator last, const Zones& zones,
                                                 std::size_t copies_left) const;
--- a/src/cluster/storage/replica.cpp
+++ b/src/cluster/storage/replica.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kContentPrefix = "c/";
 constexpr std::string_view kStatePrefix = "s/";
 constexpr std::string_view kPromisePrefix = "p/";
-constexpr std::string_view kDoubtPrefix = "d/";  // partitions in which something could not be read
+constexpr std::string_view kIncompletePrefix = "d/";  // partitions in which something could not be read
 constexpr std::string_view kCompleteKey = "meta/complete_from";
 constexpr std::string_view kJoinedKey = "meta/joined";
 constexpr std::int64_t kMillisPerSecond = 1000;
@@ -74,14 +74,15 @@
         loadReadable(states);
     }
     for (const std::string& value : states) loadState(value);
-    if (disk_.lacksRecords()) doubtAll();
+    if (disk_.lacksRecords()) markAllIncomplete();
 }
 
 void Replica::loadRecord(std::string_view key, const std::string& value, std::vector<std::string>& states) {
     if (key.starts_with(kContentPrefix)) loadContent(value);
     if (key.starts_with(kStatePrefix)) states.push_back(value);
     if (key.starts_with(kPromisePrefix)) loadPromise(key, value);
-    if (key.starts_with(kDoubtPrefix)) partitions_[decode<PartitionId>(value).value_or(0)].doubtful = true;
+    if (key.starts_with(kIncompletePrefix))
+        partitions_[decode<PartitionId>(value).value_or(0)].incomplete = true;
 }
 
 void Replica::loadReadable(std::vector<std::string>& states) {
@@ -92,22 +93,22 @@
             LOG(ERROR) << key << ": " << error.what();
         }
     });
-    doubtAll();
+    markAllIncomplete();
 }
 
 // What is missing may belong to any partition, and may be the record of a promise or of the own joining.
-void Replica::doubtAll() {
+void Replica::markAllIncomplete() {
     complete_from_.reset();
     remove(std::string(kCompleteKey));
-    for (const auto& [partition, kept] : partitions_) doubt(partition);
+    for (const auto& [partition, kept] : partitions_) markIncomplete(partition);
 }
 
-void Replica::doubt(PartitionId partition) {
+void Replica::markIncomplete(PartitionId partition) {
     Partition& kept = partitions_[partition];
-    if (kept.doubtful) return;
-    kept.doubtful = true;
-    stage(std::string(kDoubtPrefix) + std::to_string(partition), encode(partition));
-    if (on_doubt_) on_doubt_();
+    if (kept.incomplete) return;
+    kept.incomplete = true;
+    stage(std::string(kIncompletePrefix) + std::to_string(partition), encode(partition));
+    if (on_read_failure_) on_read_failure_();
 }
 
 void Replica::loadContent(const std::string& value) {
@@ -115,7 +116,7 @@
     if (!record) return;
     record->accepted_wall_ms = std::min(record->accepted_wall_ms, clock_.wallMillis());
     StoredMessage& message = partitions_[record->partition].messages[record->content.id];
-    adopt(message, *record, false);
+    copyRecord(message, *record, false);
     scheduleTrim(record->partition, record->content.id, message);
 }
 
@@ -148,15 +149,15 @@
     return found == partitions_.end() ? 0 : found->second.promised;
 }
 
-bool Replica::valid(PartitionId partition) const {
+bool Replica::isValid(PartitionId partition) const {
     const auto found = partitions_.find(partition);
-    if (found != partitions_.end() && found->second.doubtful) return false;
+    if (found != partitions_.end() && found->second.incomplete) return false;
     std::optional<Epoch> from = complete_from_;
     if (found != partitions_.end()) from = std::max(from, found->second.valid_from);  // nothing is least
     return from && *from >= joined_;
 }
 
-void Replica::joined(Epoch epoch, bool this_process) {
+void Replica::recordJoin(Epoch epoch, bool this_process) {
     if (epoch > joined_) {
         joined_ = epoch;
         stage(std::string(kJoinedKey), encode(epoch));
@@ -184,11 +185,12 @@
     kept.promised = epoch;
     kept.valid_from = epoch;
     writePromise(partition);
-    if (std::exchange(kept.doubtful, false)) remove(std::string(kDoubtPrefix) + std::to_string(partition));
+    if (std::exchange(kept.incomplete, false))
+        remove(std::string(kIncompletePrefix) + std::to_string(partition));
     return true;
 }
 
-Epoch Replica::peered(PartitionId partition) const {
+Epoch Replica::peeredEpoch(PartitionId partition) const {
     const auto found = partitions_.find(partition);
     return found == partitions_.end() ? 0 : found->second.valid_from.value_or(0);
 }
@@ -209,19 +211,19 @@
     if (known != nullptr) known->before_join = false;
     if (known == nullptr) {
         StoredMessage& message = partitions_[record.partition].messages[id];
-        adopt(message, record, keep_body);
+        copyRecord(message, record, keep_body);
         scheduleTrim(record.partition, id, message);
         return true;
     }
     if (!is_over && !known->content_on_disk) {
         // The state came before the content; it is kept.
         const RecordUpdate state = this->state(record.partition, id, *known);
-        adopt(*known, record, keep_body);
+        copyRecord(*known, record, keep_body);
         known->keep_until_wall_ms = std::max(known->keep_until_wall_ms, state.keep_until_wall_ms);
         mergeInto(record.partition, id, *known, state);
     }
     if (is_over) {
-        keepAsLongAs(*known, record);
+        extendRetention(*known, record);
     } else {
         correctAcceptTime(*known, record.accepted_wall_ms);
     }
@@ -229,7 +231,7 @@
     return true;
 }
 
-void Replica::adopt(StoredMessage& message, const MessageRecord& record, bool keep_body) {
+void Replica::copyRecord(StoredMessage& message, const MessageRecord& record, bool keep_body) {
     message.content_on_disk = true;
     message.epoch = record.epoch;
     message.sequence = record.sequence;
@@ -305,29 +307,29 @@
 bool Replica::stage(const std::string& key, const std::string& value) {
     const bool staged = disk_.putFromReserve(key, value);
     if (staged) {
-        left_over_.erase(key);
+        deferred_writes_.erase(key);
     } else {
-        left_over_[key] = value;
+        deferred_writes_[key] = value;
     }
     return staged;
 }
 
 void Replica::remove(const std::string& key) {
-    left_over_.erase(key);
+    deferred_writes_.erase(key);
     disk_.erase(key);
 }
 
-bool Replica::stageLeftOver() {
-    while (!left_over_.empty()) {
-        const auto first = left_over_.begin();
+bool Replica::stageDeferredWrites() {
+    while (!deferred_writes_.empty()) {
+        const auto first = deferred_writes_.begin();
         if (!disk_.putFromReserve(first->first, first->second)) return false;
-        left_over_.erase(first);
+        deferred_writes_.erase(first);
     }
     return true;
 }
 
 void Replica::sync(std::function<void(bool)> done) {
-    const bool staged = stageLeftOver();
+    const bool staged = stageDeferredWrites();
     disk_.sync([staged, done = std::move(done)](bool synced) { done(staged && synced); });
 }
 
@@ -363,7 +365,7 @@
     }
     if (record) return std::move(record->content);
     message->content_on_disk = false;  // another replica's copy takes its place
-    doubt(partition);
+    markIncomplete(partition);
     return std::nullopt;
 }
 
@@ -402,7 +404,7 @@
 }
 
 // Its end must outlive every copy that may still be pending elsewhere.
-void Replica::keepAsLongAs(StoredMessage& message, const MessageRecord& record) {
+void Replica::extendRetention(StoredMessage& message, const MessageRecord& record) {
     message.accepted_wall_ms =
         std::max(message.accepted_wall_ms, std::min(record.accepted_wall_ms, clock_.wallMillis()));
     message.retention_ms = std::max(message.retention_ms, record.retention_ms);
--- a/src/cluster/storage/replica.hpp
+++ b/src/cluster/storage/replica.hpp
@@ -74,21 +74,21 @@
     // --- Promises ---
     Epoch promised(PartitionId partition) const;
     // Whether all that this store was given of the partition since it joined is here.
-    bool valid(PartitionId partition) const;
+    bool isValid(PartitionId partition) const;
     // This store came to the system with that epoch; what it held before does not count. `this_process`: with
     // its present process, which therefore lacks nothing of what it was given since. Durable after the next
     // sync.
-    void joined(Epoch epoch, bool this_process);
+    void recordJoin(Epoch epoch, bool this_process);
     // Takes nothing from epochs before `epoch` any more; durable after the next sync.
     void promise(PartitionId partition, Epoch epoch);
     // The owner of that epoch has peered the partition. False where a newer epoch has been promised.
     bool markValid(PartitionId partition, Epoch epoch);
     // The newest epoch in which the partition has been peered as far as this store was told; 0: none.
-    Epoch peered(PartitionId partition) const;
+    Epoch peeredEpoch(PartitionId partition) const;
 
     // Runs when something here turned out to be unreadable: nothing here is called valid any more until the
     // owner has made its copies again, so others must be told.
-    void onDoubt(std::function<void()> listener) { on_doubt_ = std::move(listener); }
+    void onReadFailure(std::function<void()> listener) { on_read_failure_ = std::move(listener); }
 
     // --- Messages ---
     // Writes a record, or merges it into the one that is there. False: the disk has no room, nothing changed.
@@ -118,7 +118,7 @@
     // Runs `done` with whether all that was changed before is durable.
     void sync(std::function<void(bool)> done);
     // Stages what found no room on the disk before. False: there is still none.
-    bool stageLeftOver();
+    bool stageDeferredWrites();
 
     std::size_t residentBodyBytes() const { return resident_body_bytes_; }
     std::size_t size() const;
@@ -127,14 +127,14 @@
     struct Partition {
         Epoch promised = 0;
         std::optional<Epoch> valid_from;  // the epoch of the last peering_done
-        bool doubtful = false;            // something could not be read since
+        bool incomplete = false;          // something could not be read since
         Messages messages;
     };
 
     void loadRecord(std::string_view key, const std::string& value, std::vector<std::string>& states);
     void loadReadable(std::vector<std::string>& states);
-    void doubtAll();
-    void doubt(PartitionId partition);
+    void markAllIncomplete();
+    void markIncomplete(PartitionId partition);
     void loadContent(const std::string& value);
     void loadState(const std::string& value);
     void loadPromise(std::string_view key, const std::string& value);
@@ -145,11 +145,11 @@
     bool writeState(PartitionId partition, const MessageId& id, const StoredMessage& message);
     // Once all is over nobody asks for the content, and a start need not read it.
     void removeContent(PartitionId partition, const MessageId& id, StoredMessage& message);
-    void adopt(StoredMessage& message, const MessageRecord& record, bool keep_body);
+    void copyRecord(StoredMessage& message, const MessageRecord& record, bool keep_body);
     MergeResult mergeInto(PartitionId partition, const MessageId& id, StoredMessage& message,
                           const RecordUpdate& update);
     void releaseContent(StoredMessage& message);
-    void keepAsLongAs(StoredMessage& message, const MessageRecord& record);
+    void extendRetention(StoredMessage& message, const MessageRecord& record);
     void scheduleTrim(PartitionId partition, const MessageId& id, const StoredMessage& message);
     std::int64_t keepUntil(const StoredMessage& message) const;
 
@@ -159,12 +159,12 @@
     const Millis status_kept_;
     // The epoch from which this disk lacks nothing: of the first start (0), or of its joining.
     std::optional<Epoch> complete_from_;
-    std::function<void()> on_doubt_;
+    std::function<void()> on_read_failure_;
     Epoch joined_ = 0;
     std::map<PartitionId, Partition> partitions_;
     std::size_t resident_body_bytes_ = 0;
     bool unsynced_states_ = false;
-    std::map<std::string, std::string> left_over_;  // not staged yet, by key
+    std::map<std::string, std::string> deferred_writes_;  // not staged yet, by key
     // By second of the day's clock; entries that were prolonged are put back when their second comes.
     std::map<std::int64_t, std::vector<std::pair<PartitionId, MessageId>>> trims_;
 };
--- a/src/cluster/storage/replicator.cpp
+++ b/src/cluster/storage/replicator.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr int kMostCallsUnderWay = 2;
-constexpr std::size_t kMostBytesPerCall = 1u << 20;
+constexpr int kMaxCallsInProgress = 2;
+constexpr std::size_t kMaxBytesPerCall = 1u << 20;
 constexpr std::size_t kEntryOverhead = 300;
-constexpr std::size_t kMostStatesPerFlush = 2000;
+constexpr std::size_t kMaxStatesPerFlush = 2000;
 constexpr Millis kFlushTimeout{1000};
 
 // The store has staged what was sent, and its disk works.
-bool isTaken(const CallResult& result, std::size_t requests) {
+bool isAcknowledged(const CallResult& result, std::size_t requests) {
     if (result.verdict != Verdict::answered) return false;
     const auto reply = decode<ReplicateBatchReply>(result.reply.body);
     return reply && reply->replies.size() == requests;
@@ -59,7 +59,7 @@
 
 void Replicator::drain() {
     for (auto& [store, outbox] : outboxes_) {
-        while (!outbox.waiting.empty() && outbox.calls_under_way < kMostCallsUnderWay)
+        while (!outbox.waiting.empty() && outbox.calls_in_progress < kMaxCallsInProgress)
             sendBatch(store, outbox);
     }
 }
@@ -67,7 +67,7 @@
 void Replicator::sendBatch(const std::string& store, Outbox& outbox) {
     std::vector<Entry> entries;
     std::size_t bytes = 0;
-    while (!outbox.waiting.empty() && bytes < kMostBytesPerCall) {
+    while (!outbox.waiting.empty() && bytes < kMaxBytesPerCall) {
         Entry& next = outbox.waiting.front();
         bytes += kEntryOverhead + (next.record ? next.record->content.body.size() : 0);
         entries.push_back(std::move(next));
@@ -79,7 +79,7 @@
         for (Entry& entry : entries) entry.done(ReplicateOutcome::failed);
         return;
     }
-    ++outbox.calls_under_way;
+    ++outbox.calls_in_progress;
     Envelope request = envelope(MessageKind::replicate, batchOf(entries));
     const auto shared = std::make_shared<std::vector<Entry>>(std::move(entries));
     transport_.call(
@@ -107,7 +107,7 @@
 
 void Replicator::onReply(const std::string& store, std::vector<Entry> entries, const CallResult& result) {
     Outbox& outbox = outboxes_[store];
-    --outbox.calls_under_way;
+    --outbox.calls_in_progress;
     std::optional<ReplicateBatchReply> reply;
     if (result.verdict == Verdict::answered) reply = decode<ReplicateBatchReply>(result.reply.body);
     const bool complete = reply && reply->replies.size() == entries.size();
@@ -121,22 +121,22 @@
     scheduleDrain();
 }
 
-void Replicator::noteState(const std::string& store, PartitionId partition, const MessageId& id) {
-    outboxes_[store].noted.emplace(partition, id);
+void Replicator::scheduleStateUpdate(const std::string& store, PartitionId partition, const MessageId& id) {
+    outboxes_[store].pending_states.emplace(partition, id);
 }
 
 void Replicator::flush() {
     for (auto& [store, outbox] : outboxes_) {
-        if (!placement_.alive(store)) outbox.noted.clear();
-        if (!outbox.noted.empty() && !outbox.flushing) flushStore(store, outbox);
+        if (!placement_.alive(store)) outbox.pending_states.clear();
+        if (!outbox.pending_states.empty() && !outbox.flushing) flushStore(store, outbox);
     }
 }
 
 void Replicator::flushStore(const std::string& store, Outbox& outbox) {
     std::map<PartitionId, ReplicateRequest> requests;
-    const auto sent = std::make_shared<std::vector<MessageName>>();
-    while (!outbox.noted.empty() && sent->size() < kMostStatesPerFlush) {
-        sent->push_back(std::move(outbox.noted.extract(outbox.noted.begin()).value()));
+    const auto sent = std::make_shared<std::vector<MessageKey>>();
+    while (!outbox.pending_states.empty() && sent->size() < kMaxStatesPerFlush) {
+        sent->push_back(std::move(outbox.pending_states.extract(outbox.pending_states.begin()).value()));
         const auto& [partition, id] = sent->back();
         const auto found = replica_.messages(partition).find(id);
         if (found == replica_.messages(partition).end()) continue;
@@ -158,8 +158,8 @@
                     [this, store, sent, requests = batch.requests.size()](const CallResult& result) {
                         Outbox& answered = outboxes_[store];
                         answered.flushing = false;
-                        if (isTaken(result, requests)) return;
-                        for (MessageName& name : *sent) answered.noted.insert(std::move(name));
+                        if (isAcknowledged(result, requests)) return;
+                        for (MessageKey& name : *sent) answered.pending_states.insert(std::move(name));
                     });
 }
 
@@ -170,8 +170,8 @@
 
 bool Replicator::idle() const {
     for (const auto& [store, outbox] : outboxes_) {
-        if (!outbox.waiting.empty() || outbox.calls_under_way > 0) return false;
-        if (!outbox.noted.empty() || outbox.flushing) return false;
+        if (!outbox.waiting.empty() || outbox.calls_in_progress > 0) return false;
+        if (!outbox.pending_states.empty() || outbox.flushing) return false;
     }
     return true;
 }
--- a/src/cluster/storage/replicator.hpp
+++ b/src/cluster/storage/replicator.hpp
@@ -39,7 +39,7 @@
     void sendState(const std::string& store, Epoch epoch, RecordUpdate state, Done done);
     // Sends the state that the message will have at the next flush(), repeatedly until the store has it;
     // nobody waits for it. Given up when the store is not alive any more.
-    void noteState(const std::string& store, PartitionId partition, const MessageId& id);
+    void scheduleStateUpdate(const std::string& store, PartitionId partition, const MessageId& id);
     // Sends all noted states. Call every 100 ms or so.
     void flush();
     // Whether the last call to this store went through.
@@ -55,12 +55,12 @@
         RecordUpdate state;
         Done done;
     };
-    using MessageName = std::pair<PartitionId, MessageId>;
+    using MessageKey = std::pair<PartitionId, MessageId>;
     struct Outbox {
         std::deque<Entry> waiting;
-        int calls_under_way = 0;
+        int calls_in_progress = 0;
         bool healthy = true;
-        std::set<MessageName> noted;
+        std::set<MessageKey> pending_states;
         bool flushing = false;
     };
 
--- a/src/cluster/storage/spread_rule.cpp
+++ b/src/cluster/storage/spread_rule.cpp
@@ -5,7 +5,7 @@
 namespace amberswitch::cluster::storage {
 namespace {
 
-std::size_t lacking(std::size_t tolerated, std::size_t there) {
+std::size_t missingCount(std::size_t tolerated, std::size_t there) {
     return std::max(tolerated + 1, there) - there;
 }
 
@@ -17,19 +17,19 @@
     return regions;
 }
 
-std::size_t SpreadRule::zonesLacking(const Zones& zones) const {
-    return lacking(tolerance_.zones, zones.size());
+std::size_t SpreadRule::missingZones(const Zones& zones) const {
+    return missingCount(tolerance_.zones, zones.size());
 }
 
-std::size_t SpreadRule::regionsLacking(const Zones& zones) const {
-    return lacking(tolerance_.regions, regionsOf(zones).size());
+std::size_t SpreadRule::missingRegions(const Zones& zones) const {
+    return missingCount(tolerance_.regions, regionsOf(zones).size());
 }
 
 bool SpreadRule::isSpread(const Zones& zones) const {
-    return zonesLacking(zones) == 0 && regionsLacking(zones) == 0;
+    return missingZones(zones) == 0 && missingRegions(zones) == 0;
 }
 
-bool SpreadRule::mayBeLost(const Zones& zones) const {
+bool SpreadRule::mayAllBeLost(const Zones& zones) const {
     if (zones.empty()) return false;
     return zones.size() <= tolerance_.zones || regionsOf(zones).size() <= tolerance_.regions;
 }
--- a/src/cluster/storage/spread_rule.hpp
+++ b/src/cluster/storage/spread_rule.hpp
@@ -23,10 +23,10 @@
     // With copies in these zones, no tolerated loss of zones or of regions takes all of them.
     bool isSpread(const Zones& zones) const;
     // Whether all machines of these zones may be lost at once. False for none.
-    bool mayBeLost(const Zones& zones) const;
+    bool mayAllBeLost(const Zones& zones) const;
     // How many further zones, or regions, copies in these zones lack.
-    std::size_t zonesLacking(const Zones& zones) const;
-    std::size_t regionsLacking(const Zones& zones) const;
+    std::size_t missingZones(const Zones& zones) const;
+    std::size_t missingRegions(const Zones& zones) const;
     // A copy in `zone` would add a zone, or a region, to these.
     bool addsRegion(const Zones& zones, const std::string& zone) const;
 
--- a/src/cluster/storage/store_node.cpp
+++ b/src/cluster/storage/store_node.cpp
@@ -15,13 +15,13 @@
 
 constexpr Millis kTick{100};
 constexpr std::uint64_t kTicksPerTrim = 10;
-constexpr std::size_t kMostTrimmedAtOnce = 2000;
+constexpr std::size_t kMaxTrimmedPerPass = 2000;
 // A previous owner that may still run uses its share of the ceilings for this long after it was replaced.
-constexpr Millis kPreviousOwnerRuns{3000};
-constexpr Millis kFormerGrantsKept{10000};
-constexpr Millis kExitBeforeGrace{1500};
+constexpr Millis kPreviousOwnerGrace{3000};
+constexpr Millis kFormerGrantsRetention{10000};
+constexpr Millis kExitMargin{1500};
 // Answers to the last pulls leave the machine within this time.
-constexpr Millis kLastAnswers{200};
+constexpr Millis kLastAnswerDelay{200};
 
 }  // namespace
 
@@ -69,19 +69,19 @@
       placement_(settings.name, settings.zone, settings.topology, settings.tolerance),
       replica_(disk, clock_, settings.bootstrap && disk.wasEmpty(), settings.bounds.status_kept),
       replicator_(scheduler, transport, placement_, replica_, clock_),
-      book_(settings.zone, settings.topology, incarnation),
+      grants_(settings.zone, settings.topology, incarnation),
       items_(clock_, settings.bounds.status_kept),
-      outcomes_(owned_, book_, replica_, replicator_, items_, clock_, incarnation),
-      granter_(scheduler, transport, owned_, book_, outcomes_, replica_, items_, settings.name),
-      edge_watch_(transport, owned_, book_, outcomes_, granter_, clock_, settings.name),
-      accepts_(disk, replica_, replicator_, placement_, clock_, owned_, items_, outcomes_, granter_,
-               [this](PartitionId partition) { onFenced(partition); }),
+      outcomes_(owned_, grants_, replica_, replicator_, items_, clock_, incarnation),
+      granter_(scheduler, transport, owned_, grants_, outcomes_, replica_, items_, settings.name),
+      edge_watch_(transport, owned_, grants_, outcomes_, granter_, clock_, settings.name),
+      acceptor_(disk, replica_, replicator_, placement_, clock_, owned_, items_, outcomes_, granter_,
+                [this](PartitionId partition) { onFenced(partition); }),
       peering_(scheduler, transport, replica_, replicator_, placement_, clock_, peeringHooks()) {}
 
 storage::PeeringDriver::Hooks StoreNode::Impl::peeringHooks() {
     storage::PeeringDriver::Hooks hooks;
-    hooks.on_enough = [this](PartitionId partition, const std::vector<RunningAttempt>& running) {
-        onEnough(partition, running);
+    hooks.on_quorum = [this](PartitionId partition, const std::vector<RunningAttempt>& running) {
+        onQuorum(partition, running);
     };
     hooks.on_merged = [this](PartitionId partition, const std::vector<MessageId>& touched) {
         onMerged(partition, touched);
@@ -92,7 +92,7 @@
         if (item != nullptr) item->holders.insert(store);
     };
     hooks.is_storing = [this](PartitionId partition, const MessageId& id) {
-        return accepts_.inProgress(partition, id);
+        return acceptor_.inProgress(partition, id);
     };
     hooks.on_done = [this](PartitionId partition, Epoch epoch) {
         Epoch& newest = last_peering_done_[partition];
@@ -103,7 +103,7 @@
 
 void StoreNode::Impl::start() {
     disk_.onHealthChange([this](bool healthy) { onDiskHealth(healthy); });
-    replica_.onDoubt([this] { onDoubt(); });
+    replica_.onReadFailure([this] { onReadFailure(); });
     replica_.load();
     if (!disk_.healthy()) onDiskHealth(false);
     LOG(INFO) << "store " << settings_.name << ": " << replica_.size() << " messages on disk";
@@ -118,41 +118,41 @@
     } else {
         LOG(ERROR) << "store " << settings_.name << ": the disk fails; no copy and no owner until it works";
     }
-    tellUsable();
+    notifyUsable();
 }
 
 // A view without this store and another one with it make the owners look for copies that are missing.
-void StoreNode::Impl::onDoubt() {
-    if (std::exchange(in_doubt_, true)) return;
+void StoreNode::Impl::onReadFailure() {
+    if (std::exchange(has_unreadable_data_, true)) return;
     LOG(ERROR) << "store " << settings_.name << ": not all can be read; no copy until the owners have peered";
-    tellUsable();
+    notifyUsable();
 }
 
-void StoreNode::Impl::endDoubt() {
+void StoreNode::Impl::clearReadFailure() {
     const bool is_away = placement_.member(settings_.name) == nullptr || !placement_.alive(settings_.name);
-    if (!in_doubt_ || !is_away) return;
-    in_doubt_ = false;
-    tellUsable();
+    if (!has_unreadable_data_ || !is_away) return;
+    has_unreadable_data_ = false;
+    notifyUsable();
 }
 
-void StoreNode::Impl::tellUsable() {
-    if (on_usable_) on_usable_(disk_.healthy() && !in_doubt_);
+void StoreNode::Impl::notifyUsable() {
+    if (on_usable_) on_usable_(disk_.healthy() && !has_unreadable_data_);
 }
 
 void StoreNode::Impl::tick() {
     tick_timer_ = scheduler_.after(kTick, [this] { tick(); });
-    replica_.stageLeftOver();
+    replica_.stageDeferredWrites();
     peering_.tick();
-    accepts_.tick();
+    acceptor_.tick();
     edge_watch_.tick();
     for (auto& [partition, owned] : owned_) {
         if (owned->active) outcomes_.endExpired(*owned);
     }
     replicator_.flush();
-    updateShare();
-    if (book_.ready.size() > 0) granter_.schedule();
+    updateLimiterShares();
+    if (grants_.ready.size() > 0) granter_.schedule();
     if (++ticks_ % kTicksPerTrim == 0) {
-        replica_.trim(kMostTrimmedAtOnce);
+        replica_.trim(kMaxTrimmedPerPass);
         // Nobody waits for ends and counts, yet a loss of power must not undo those of long ago.
         if (replica_.takeUnsyncedStates()) replica_.sync([](bool) {});
     }
@@ -160,14 +160,14 @@
     finishLeaving();
 }
 
-bool StoreNode::Impl::namedAsOwner(const StoreView& view, PartitionId partition) const {
+bool StoreNode::Impl::isNamedAsOwner(const StoreView& view, PartitionId partition) const {
     const std::int32_t owner = view.partitions[partition].owner;
     if (owner < 0 || static_cast<std::size_t>(owner) >= view.stores.size()) return false;
     return view.stores[static_cast<std::size_t>(owner)].member.name == settings_.name;
 }
 
-bool StoreNode::Impl::ownsInView(const StoreView& view, PartitionId partition) const {
-    if (!namedAsOwner(view, partition)) return false;
+bool StoreNode::Impl::isOwnerInView(const StoreView& view, PartitionId partition) const {
+    if (!isNamedAsOwner(view, partition)) return false;
     const std::int32_t owner = view.partitions[partition].owner;
     return view.stores[static_cast<std::size_t>(owner)].member.incarnation == incarnation_;
 }
@@ -177,25 +177,26 @@
     const Epoch previous_epoch = view_ ? view_->epoch : 0;
     view_ = std::move(view);
     placement_.update(view_);
-    noteOwnJoin();
-    endDoubt();
+    recordOwnJoin();
+    clearReadFailure();
     const auto partitions = static_cast<PartitionId>(view_->partitions.size());
     for (PartitionId partition = 0; partition < partitions; ++partition) {
-        const bool mine = ownsInView(*view_, partition) && replica_.promised(partition) <= view_->epoch;
-        if (mine) {
+        const bool is_owner =
+            isOwnerInView(*view_, partition) && replica_.promised(partition) <= view_->epoch;
+        if (is_owner) {
             takeOver(partition, *view_, previous_epoch);
         } else if (findOwned(owned_, partition) != nullptr) {
             relinquish(partition);
         }
     }
-    updateShare();
+    updateLimiterShares();
     LOG(INFO) << "store " << settings_.name << ": view " << view_->epoch << ", " << owned_.size()
               << " partitions";
 }
 
-void StoreNode::Impl::noteOwnJoin() {
+void StoreNode::Impl::recordOwnJoin() {
     const StoreMember* const self = placement_.member(settings_.name);
-    if (self != nullptr) replica_.joined(self->joined_epoch, self->joined_incarnation == incarnation_);
+    if (self != nullptr) replica_.recordJoin(self->joined_epoch, self->joined_incarnation == incarnation_);
 }
 
 std::vector<PeerStore> StoreNode::Impl::peersOf(PartitionId partition) const {
@@ -225,17 +226,17 @@
                             view.epoch == previous_epoch + 1;
     if (owned != nullptr && !continuous) relinquish(partition);
     if (!continuous) {
-        auto fresh = std::make_unique<OwnedPartition>(partition, book_.ready);
+        auto fresh = std::make_unique<OwnedPartition>(partition, grants_.ready);
         owned = owned_.emplace(partition, std::move(fresh)).first->second.get();
         const PartitionOwner& assignment = view.partitions[partition];
         const bool previous_runs = !assignment.previous_stopped && assignment.previous >= 0 &&
                                    assignment.previous != assignment.owner;
-        owned->ceiling_share_from = clock_.now() + (previous_runs ? kPreviousOwnerRuns : Millis(0));
+        owned->ceiling_share_from = clock_.now() + (previous_runs ? kPreviousOwnerGrace : Millis(0));
     } else {
         owned->queue.forEach([this](QueueItem& item) {
-            if (!accepts_.inProgress(item.partition, item.id)) item.holders.clear();
+            if (!acceptor_.inProgress(item.partition, item.id)) item.holders.clear();
         });
-        accepts_.onView(partition);
+        acceptor_.onView(partition);
     }
     owned->epoch = view.epoch;
     owned->last_sequence = 0;
@@ -249,17 +250,17 @@
     if (owned.active) {
         FormerGrants& former = former_grants_[partition];
         former = FormerGrants{};
-        former.until = clock_.now() + kFormerGrantsKept;
+        former.until = clock_.now() + kFormerGrantsRetention;
         owned.queue.forEach([&former](QueueItem& item) {
             if (!item.grant) return;
             former.running.push_back(
                 {item.partition, item.id, item.grant->id.attempt, item.grant->id.epoch, item.callback});
         });
     }
-    book_.endAll(owned, clock_.now());
+    grants_.endAll(owned, clock_.now());
     peering_.cancel(partition);
     owned_.erase(partition);
-    accepts_.abandon(partition);
+    acceptor_.abandon(partition);
 }
 
 void StoreNode::Impl::onFenced(PartitionId partition) {
@@ -271,11 +272,11 @@
     });
 }
 
-void StoreNode::Impl::onEnough(PartitionId partition, const std::vector<RunningAttempt>& running) {
+void StoreNode::Impl::onQuorum(PartitionId partition, const std::vector<RunningAttempt>& running) {
     OwnedPartition* const owned = findOwned(owned_, partition);
     if (owned == nullptr) return;
     if (owned->active) {  // it was the owner all along
-        owned->queue.forEach([this](QueueItem& item) { setHolders(item); });
+        owned->queue.forEach([this](QueueItem& item) { addKnownHolders(item); });
         recoverAll(*owned);
         return;
     }
@@ -291,7 +292,7 @@
         former_grants_.erase(former);
     }
     edge_watch_.onActive(*owned, granted);
-    updateShare();
+    updateLimiterShares();
     granter_.schedule();
 }
 
@@ -306,18 +307,18 @@
 void StoreNode::Impl::onMerged(PartitionId partition, const std::vector<MessageId>& touched) {
     OwnedPartition* const owned = findActive(owned_, partition);
     if (owned == nullptr) return;
-    for (const MessageId& id : newestFirst(partition, touched)) {
+    for (const MessageId& id : sortedNewestFirst(partition, touched)) {
         outcomes_.refresh(*owned, id);
         QueueItem* const item = owned->queue.find(id);
         if (item == nullptr) continue;
-        setHolders(*item);
+        addKnownHolders(*item);
         if (item->state != storage::ItemState::storing) outcomes_.applyConfiguration(*owned, *item);
     }
     outcomes_.endExpired(*owned);  // before any of it is granted
     granter_.schedule();
 }
 
-std::vector<MessageId> StoreNode::Impl::newestFirst(PartitionId partition, std::vector<MessageId> ids) {
+std::vector<MessageId> StoreNode::Impl::sortedNewestFirst(PartitionId partition, std::vector<MessageId> ids) {
     const auto position = [this, partition](const MessageId& id) {
         const storage::StoredMessage* const message = replica_.find(partition, id);
         return message == nullptr ? storage::OrderPosition{}
@@ -328,11 +329,11 @@
     return ids;
 }
 
-void StoreNode::Impl::setHolders(QueueItem& item) {
+void StoreNode::Impl::addKnownHolders(QueueItem& item) {
     for (const std::string& store : peering_.holders(item.partition, item.id)) item.holders.insert(store);
 }
 
-void StoreNode::Impl::updateShare() {
+void StoreNode::Impl::updateLimiterShares() {
     if (!view_ || view_->partitions.empty()) return;
     double counted = 0;
     double active = 0;
@@ -342,14 +343,14 @@
         if (owned->ceiling_share_from <= clock_.now()) ++counted;
     }
     const auto all = static_cast<double>(view_->partitions.size());
-    book_.limiter.setShares(counted / all, active / all, clock_.now());
+    grants_.limiter.setShares(counted / all, active / all, clock_.now());
 }
 
 void StoreNode::Impl::onConfiguration(std::shared_ptr<const Configuration> configuration) {
     if (configuration_ && configuration->generation <= configuration_->generation) return;
     configuration_ = std::move(configuration);
     items_.configure(configuration_.get());
-    book_.limiter.configure(*configuration_);
+    grants_.limiter.configure(*configuration_);
     for (auto& [partition, owned] : owned_) {
         if (owned->active) outcomes_.applyConfiguration(*owned);
     }
@@ -361,17 +362,17 @@
     for (const ServerEntry& server : servers.servers) {
         if (!server.draining) slots[server.service] += server.capacity;
     }
-    book_.limiter.setCapacities(slots);
+    grants_.limiter.setCapacities(slots);
     granter_.schedule();
 }
 
 void StoreNode::Impl::leave(std::function<void()> done) {
     if (std::exchange(leaving_, true)) return;
     on_left_ = std::move(done);
-    accepts_.stop();
+    acceptor_.stop();
     granter_.stop();
     for (const auto& [partition, owned] : owned_) awaiting_pull_.insert(partition);
-    const Millis wait = std::max(Millis(0), settings_.bounds.grace - kExitBeforeGrace);
+    const Millis wait = std::max(Millis(0), settings_.bounds.grace - kExitMargin);
     grace_timer_ = scheduler_.after(wait, [this] {
         if (on_left_) std::exchange(on_left_, nullptr)();
     });
@@ -379,9 +380,9 @@
 
 void StoreNode::Impl::finishLeaving() {
     if (!leaving_ || successors_done_) return;
-    if (!awaiting_pull_.empty() || accepts_.inProgress() > 0 || !replicator_.idle()) return;
+    if (!awaiting_pull_.empty() || acceptor_.inProgress() > 0 || !replicator_.idle()) return;
     successors_done_ = true;
-    grace_timer_ = scheduler_.after(kLastAnswers, [this] {
+    grace_timer_ = scheduler_.after(kLastAnswerDelay, [this] {
         if (on_left_) std::exchange(on_left_, nullptr)();
     });
 }
--- a/src/cluster/storage/store_node_impl.hpp
+++ b/src/cluster/storage/store_node_impl.hpp
@@ -38,26 +38,26 @@
     // --- Ownership (store_node.cpp) ---
     void tick();
     // This store, whichever process of it, and this very process.
-    bool namedAsOwner(const StoreView& view, PartitionId partition) const;
-    bool ownsInView(const StoreView& view, PartitionId partition) const;
+    bool isNamedAsOwner(const StoreView& view, PartitionId partition) const;
+    bool isOwnerInView(const StoreView& view, PartitionId partition) const;
     void takeOver(PartitionId partition, const StoreView& view, Epoch previous_epoch);
     void relinquish(PartitionId partition);
     // A replica has promised a newer epoch: there is another owner, whose view has not come yet.
     void onFenced(PartitionId partition);
-    void noteOwnJoin();
+    void recordOwnJoin();
     std::vector<storage::PeerStore> peersOf(PartitionId partition) const;
-    void onEnough(PartitionId partition, const std::vector<RunningAttempt>& running);
+    void onQuorum(PartitionId partition, const std::vector<RunningAttempt>& running);
     void onMerged(PartitionId partition, const std::vector<MessageId>& touched);
     void recoverAll(OwnedPartition& owned);
     // Whether an older message is a stray shows by the newer ones of its line.
-    std::vector<MessageId> newestFirst(PartitionId partition, std::vector<MessageId> ids);
-    void setHolders(storage::QueueItem& item);
-    void updateShare();
+    std::vector<MessageId> sortedNewestFirst(PartitionId partition, std::vector<MessageId> ids);
+    void addKnownHolders(storage::QueueItem& item);
+    void updateLimiterShares();
     void finishLeaving();
     void onDiskHealth(bool healthy);
-    void onDoubt();
-    void endDoubt();
-    void tellUsable();
+    void onReadFailure();
+    void clearReadFailure();
+    void notifyUsable();
     storage::PeeringDriver::Hooks peeringHooks();
 
     // --- Requests (store_node_requests.cpp) ---
@@ -91,13 +91,13 @@
     storage::Placement placement_;
     storage::Replica replica_;
     storage::Replicator replicator_;
-    storage::GrantTable book_;  // before owned_: the queues refer to it
+    storage::GrantTable grants_;  // before owned_: the queues refer to it
     storage::OwnedPartitions owned_;
     storage::QueueItemFactory items_;
     storage::OutcomeHandler outcomes_;
     storage::Granter granter_;
     storage::EdgeWatch edge_watch_;
-    storage::MessageAcceptor accepts_;
+    storage::MessageAcceptor acceptor_;
     storage::PeeringDriver peering_;
 
     std::shared_ptr<const StoreView> view_;
@@ -109,7 +109,8 @@
     std::function<void()> on_left_;
     std::function<void(bool)> on_usable_;
     std::set<PartitionId> awaiting_pull_;  // while leaving: partitions no successor has asked for yet
-    bool in_doubt_ = false;  // something could not be read, and no view has shown this store as away since
+    bool has_unreadable_data_ =
+        false;  // something could not be read, and no view has shown this store as away since
     bool leaving_ = false;
     bool successors_done_ = false;
     std::uint64_t ticks_ = 0;
--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMostBytesPerPull = 16u << 20;
+constexpr std::size_t kMaxBytesPerPull = 16u << 20;
 constexpr Millis kBodyTimeout{500};
 
 }  // namespace
@@ -58,8 +58,8 @@
 
 void StoreNode::Impl::onAccept(AcceptMessageRequest request, const Responder& respond) {
     edge_watch_.recordContact(request.edge, request.edge_address);
-    accepts_.accept(std::move(request),
-                    [respond](const AcceptMessageReply& answer) { respond(reply(answer)); });
+    acceptor_.accept(std::move(request),
+                     [respond](const AcceptMessageReply& answer) { respond(reply(answer)); });
 }
 
 void StoreNode::Impl::onReport(RunReport report, const Responder& respond) {
@@ -122,9 +122,9 @@
                             found = decode<StateReply>(result.reply.body);
                         if (!found || found->status != QueryStatus::found)
                             return fetchBody(query, answer, stores, respond);
-                        StateReply whole = answer;
-                        whole.body = std::move(found->body);
-                        respond(reply(whole));
+                        StateReply complete = answer;
+                        complete.body = std::move(found->body);
+                        respond(reply(complete));
                     });
 }
 
@@ -177,7 +177,7 @@
     if (owned != nullptr && owned->epoch < request.epoch) relinquish(request.partition);
     // Also where the disk fails: kept in memory, it holds as long as this process lasts.
     replica_.promise(request.partition, request.epoch);
-    replica_.joined(request.joined_epoch, request.joined_incarnation == incarnation_);
+    replica_.recordJoin(request.joined_epoch, request.joined_incarnation == incarnation_);
     replica_.forgetOutdated(request.partition);
     replica_.sync([this, request = std::move(request), respond](bool synced) {
         if (replica_.promised(request.partition) > request.epoch) return respond(reply(PullReply{}));
@@ -192,8 +192,8 @@
 PullReply StoreNode::Impl::pullReply(const PullRequest& request) {
     PullReply answer;
     answer.promised = true;
-    answer.valid = replica_.valid(request.partition);
-    answer.peered = replica_.peered(request.partition);
+    answer.valid = replica_.isValid(request.partition);
+    answer.peered = replica_.peeredEpoch(request.partition);
     answer.wall_ms = clock_.wallMillis();
     const std::unordered_set<MessageId> known(request.known.begin(), request.known.end());
     std::size_t bytes = 0;
@@ -202,7 +202,7 @@
         auto record = wanted ? replica_.record(request.partition, id) : std::nullopt;
         if (record) {
             bytes += record->content.body.size();
-            answer.whole = bytes <= kMostBytesPerPull || answer.records.empty();
+            answer.whole = bytes <= kMaxBytesPerPull || answer.records.empty();
             if (!answer.whole) return answer;
             answer.records.push_back(std::move(*record));
         } else if (message.content_on_disk || message.phase != Phase::pending) {
@@ -211,7 +211,7 @@
             if (dead) answer.dead_letters.push_back(id);
         }
     }
-    answer.valid = answer.valid && replica_.valid(request.partition);  // a record may have been unreadable
+    answer.valid = answer.valid && replica_.isValid(request.partition);  // a record may have been unreadable
     const auto former = former_grants_.find(request.partition);
     if (former == former_grants_.end()) return answer;
     if (former->second.successor == 0) former->second.successor = request.epoch;
@@ -231,9 +231,9 @@
     answer.done = view_ != nullptr && view_->epoch == request.epoch && disk_.healthy();
     const auto partitions = static_cast<PartitionId>(answer.done ? view_->partitions.size() : 0);
     for (PartitionId partition = 0; partition < partitions; ++partition) {
-        if (!namedAsOwner(*view_, partition)) continue;
+        if (!isNamedAsOwner(*view_, partition)) continue;
         // The view names an earlier process of this store: nobody has peered the partition in it.
-        if (!ownsInView(*view_, partition)) answer.done = false;
+        if (!isOwnerInView(*view_, partition)) answer.done = false;
         const auto newest = last_peering_done_.find(partition);
         if (newest == last_peering_done_.end() || newest->second < request.epoch) answer.done = false;
     }
--- a/src/cluster/storage/store_node_status.cpp
+++ b/src/cluster/storage/store_node_status.cpp
@@ -44,9 +44,9 @@
     number("partitions_owned", owned_.size());
     number("partitions_active", active);
     number("partitions_peering", peering_.unfinished());
-    number("copies_lacking", peering_.copiesLacking());
+    number("copies_lacking", peering_.copiesInProgress());
     number("messages_kept", replica_.size());
-    number("grants_out", book_.edges.outstandingGrants());
+    number("grants_out", grants_.edges.outstandingGrants());
     number("call_backs_pending", call_backs);
     writer.Key("oldest_due_ms");
     writer.Int64(std::max<std::int64_t>(0, age.count()));
@@ -68,12 +68,12 @@
     text.add("disk_works", disk_.healthy() ? 1 : 0);
     text.add("partitions_owned", owned_.size());
     text.add("partitions_peering", peering_.unfinished());
-    text.add("copies_lacking", peering_.copiesLacking());
+    text.add("copies_lacking", peering_.copiesInProgress());
     text.add("messages_kept", replica_.size());
-    text.add("grants_out", book_.edges.outstandingGrants());
+    text.add("grants_out", grants_.edges.outstandingGrants());
     text.add("disk_live_bytes", usage.live_bytes);
     text.add("configuration", configuration_ ? static_cast<std::uint64_t>(configuration_->generation) : 0);
-    return text.take() + book_.counters.text();
+    return text.take() + grants_.counters.text();
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -5,7 +5,7 @@
 #include <doctest/doctest.h>
 
 #include "tests/cluster/edge_world.hpp"
-#include "tests/cluster/store_plays.hpp"
+#include "tests/cluster/store_simulation.hpp"
 
 using namespace amberswitch::cluster;
 
@@ -155,7 +155,7 @@
     stores.play.configure(sendingTo(*stores.play.configuration, "plain", "partner"));
     stores.play.world.run(Millis(15'000));
     CHECK(stores.arrivals("partner") == 200);
-    CHECK(stores.play.mostIn("partner", Millis(5000)) <= 20 * 5 * 1.1 + 5);
+    CHECK(stores.play.maxArrivalsIn("partner", Millis(5000)) <= 20 * 5 * 1.1 + 5);
 }
 
 TEST_CASE("a message of a route that is gone ends also where its store knew that before the accept") {
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -126,7 +126,7 @@
         placement.update(drawn.shared());
         for (PartitionId partition = 0; partition < kPartitions; ++partition) {
             const std::vector<std::string> order = placement.replicaOrder(partition);
-            CHECK(order.size() == placement.otherKeepers());
+            CHECK(order.size() == placement.otherCopyStoreCount());
             Distance last = Distance::same_zone;
             for (const std::string& name : order) {
                 const Distance distance = drawn.topology.between(self.zone, drawn.store(name).member.zone);
@@ -298,15 +298,15 @@
     const SpreadRule zones(Tolerance{1, 1, 0}, topology);
     CHECK_FALSE(zones.isSpread({"east-a"}));
     CHECK(zones.isSpread({"east-a", "east-b"}));
-    CHECK(zones.mayBeLost({"east-a"}));
-    CHECK_FALSE(zones.mayBeLost({"east-a", "east-b"}));
-    CHECK_FALSE(zones.mayBeLost({}));
+    CHECK(zones.mayAllBeLost({"east-a"}));
+    CHECK_FALSE(zones.mayAllBeLost({"east-a", "east-b"}));
+    CHECK_FALSE(zones.mayAllBeLost({}));
     const SpreadRule regions(Tolerance{1, 0, 1}, topology);
     CHECK_FALSE(regions.isSpread({"east-a", "east-b"}));
     CHECK(regions.isSpread({"east-a", "west-a"}));
-    CHECK(regions.mayBeLost({"east-a", "east-b"}));
+    CHECK(regions.mayAllBeLost({"east-a", "east-b"}));
     const SpreadRule machines(Tolerance{2, 0, 0}, topology);
     CHECK(machines.isTrivial());
     CHECK(machines.isSpread({"east-a"}));
-    CHECK_FALSE(machines.mayBeLost({"east-a"}));
+    CHECK_FALSE(machines.mayAllBeLost({"east-a"}));
 }
--- a/tests/cluster/store_chaos_test.cpp
+++ b/tests/cluster/store_chaos_test.cpp
@@ -9,100 +9,101 @@
 
 namespace {
 
-enum class Trouble { kill, power, wipe, cut, leave };
+enum class Fault { kill, power, wipe, cut, leave };
 
 // Troubles come one after the other, each ending before the next begins, so that never more than `tolerated`
 // machines are away at once.
-class Chaos {
+class FaultInjector {
 public:
-    Chaos(StoreWorld& play, std::size_t victims) : play_(play), victims_(victims) {}
+    FaultInjector(StoreWorld& stores, std::size_t victim_count)
+        : stores_(stores), victim_count_(victim_count) {}
 
-    void strike() {
+    void inject() {
         std::vector<std::size_t> all;
-        for (std::size_t i = 0; i < play_.machines.size(); ++i) all.push_back(i);
-        std::shuffle(all.begin(), all.end(), play_.world.random());
-        struck_.assign(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(victims_));
-        for (const std::size_t i : struck_) harm(*play_.machines[i]);
+        for (std::size_t i = 0; i < stores_.machines.size(); ++i) all.push_back(i);
+        std::shuffle(all.begin(), all.end(), stores_.world.random());
+        victims_.assign(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(victim_count_));
+        for (const std::size_t i : victims_) injectInto(*stores_.machines[i]);
     }
-    void notice() { play_.changeView(); }
-    void mend() {
-        for (const std::size_t i : struck_) {
-            StoreMachine& machine = *play_.machines[i];
-            play_.network.join(machine.address.ip);
-            play_.hidden.erase(machine.name);
-            if (machine.leaving) play_.stop(machine);
-            if (!machine.process) play_.start(machine);
+    void publishView() { stores_.changeView(); }
+    void repair() {
+        for (const std::size_t i : victims_) {
+            StoreMachine& machine = *stores_.machines[i];
+            stores_.network.join(machine.address.ip);
+            stores_.hidden.erase(machine.name);
+            if (machine.leaving) stores_.stop(machine);
+            if (!machine.process) stores_.start(machine);
         }
-        play_.changeView();
+        stores_.changeView();
     }
 
 private:
-    void harm(StoreMachine& machine) {
-        switch (static_cast<Trouble>(play_.world.chance() * 5)) {
-            case Trouble::kill:
-                return play_.stop(machine);
-            case Trouble::power:
-                return play_.cutPower(machine);
-            case Trouble::wipe:
-                return play_.wipe(machine);
-            case Trouble::cut:
-                play_.network.isolate(machine.address.ip);
-                play_.hidden.insert(machine.name);
+    void injectInto(StoreMachine& machine) {
+        switch (static_cast<Fault>(stores_.world.chance() * 5)) {
+            case Fault::kill:
+                return stores_.stop(machine);
+            case Fault::power:
+                return stores_.cutPower(machine);
+            case Fault::wipe:
+                return stores_.wipe(machine);
+            case Fault::cut:
+                stores_.network.isolate(machine.address.ip);
+                stores_.hidden.insert(machine.name);
                 return;
-            case Trouble::leave:
+            case Fault::leave:
                 machine.leaving = true;
                 machine.process->node->leave([] {});
                 return;
         }
     }
 
-    StoreWorld& play_;
-    std::size_t victims_;
-    std::vector<std::size_t> struck_;
+    StoreWorld& stores_;
+    std::size_t victim_count_;
+    std::vector<std::size_t> victims_;
 };
 
-void submitOne(StoreWorld& play) {
-    const double kind = play.world.chance();
-    FakeEdge& edge = play.anyEdge();
+void submitOne(StoreWorld& stores) {
+    const double kind = stores.world.chance();
+    FakeEdge& edge = stores.anyEdge();
     if (!edge.alive()) return;
-    MessageContent content = kind < 0.5
-                                 ? play.content("lines", "k" + std::to_string(int(play.world.chance() * 6)))
-                                 : play.content("plain");
-    if (kind > 0.8) content.delay_ms = static_cast<std::int64_t>(play.world.chance() * 3000);
+    MessageContent content =
+        kind < 0.5 ? stores.content("lines", "k" + std::to_string(int(stores.world.chance() * 6)))
+                   : stores.content("plain");
+    if (kind > 0.8) content.delay_ms = static_cast<std::int64_t>(stores.world.chance() * 3000);
     if (kind > 0.9) content.callback_url = "http://10.9.0.7:80/done";
-    edge.submit(content, 3, play.world.chance() < 0.03, play.world.chance() < 0.03);
+    edge.submit(content, 3, stores.world.chance() < 0.03, stores.world.chance() < 0.03);
 }
 
-void playDay(std::uint64_t seed, WorldOptions options, int rounds) {
-    StoreWorld play(seed, options);
-    play.network.loss = seed % 2 == 0 ? 0.01 : 0;
-    Chaos chaos(play, options.tolerated);
+void runScenario(std::uint64_t seed, WorldOptions options, int rounds) {
+    StoreWorld stores(seed, options);
+    stores.network.loss = seed % 2 == 0 ? 0.01 : 0;
+    FaultInjector injector(stores, options.tolerated);
     for (int round = 0; round < rounds; ++round) {
         for (int step = 0; step < 240; ++step) {
-            submitOne(play);
-            play.world.run(Millis(static_cast<std::int64_t>(play.world.chance() * 30)));
-            if (step == 60) chaos.strike();
-            if (step == 120) chaos.notice();
-            if (step == 180) chaos.mend();
-            if (step == 100 && seed % 3 == 0) play.edges[0]->kill();
-            if (step == 150 && !play.edges[0]->alive()) play.edges[0]->restart();
+            submitOne(stores);
+            stores.world.run(Millis(static_cast<std::int64_t>(stores.world.chance() * 30)));
+            if (step == 60) injector.inject();
+            if (step == 120) injector.publishView();
+            if (step == 180) injector.repair();
+            if (step == 100 && seed % 3 == 0) stores.edges[0]->kill();
+            if (step == 150 && !stores.edges[0]->alive()) stores.edges[0]->restart();
         }
     }
-    play.network.loss = 0;
-    play.world.run(Millis(15000));
+    stores.network.loss = 0;
+    stores.world.run(Millis(15000));
     INFO("seed " << seed);
-    CHECK(play.accepted() > 50);
-    CHECK(play.unfinished() == 0);
-    play.checkStates();
-    CHECK_MESSAGE(play.ledger.faults.empty(), play.faultText());
-    for (const auto& [id, message] : play.ledger.messages) {
+    CHECK(stores.accepted() > 50);
+    CHECK(stores.unfinished() == 0);
+    stores.checkStates();
+    CHECK_MESSAGE(stores.ledger.faults.empty(), stores.faultText());
+    for (const auto& [id, message] : stores.ledger.messages) {
         if (!message.accepted || message.content.callback_url.empty()) continue;
         INFO(id);
         CHECK(message.callbacks_taken >= 1);
     }
 }
 
-WorldOptions troubled(int stores, std::uint32_t tolerated) {
+WorldOptions faultyOptions(int stores, std::uint32_t tolerated) {
     WorldOptions options;
     options.stores = stores;
     options.tolerated = tolerated;
@@ -115,11 +116,11 @@
 }  // namespace
 
 TEST_CASE("three stores that tolerate one loss") {
-    for (std::uint64_t seed = 1; seed <= 200; ++seed) playDay(seed, troubled(3, 1), 2);
+    for (std::uint64_t seed = 1; seed <= 200; ++seed) runScenario(seed, faultyOptions(3, 1), 2);
 }
 
 TEST_CASE("five stores that tolerate two losses") {
-    for (std::uint64_t seed = 1; seed <= 60; ++seed) playDay(seed, troubled(5, 2), 2);
+    for (std::uint64_t seed = 1; seed <= 60; ++seed) runScenario(seed, faultyOptions(5, 2), 2);
     for (const std::uint64_t seed : {1343, 1389, 1472, 1704, 1739})
-        playDay(seed, troubled(5, 2), 2);  // strays
+        runScenario(seed, faultyOptions(5, 2), 2);  // strays
 }
--- a/tests/cluster/store_durability_test.cpp
+++ b/tests/cluster/store_durability_test.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "cluster/storage/placement.hpp"
-#include "tests/cluster/store_plays.hpp"
+#include "tests/cluster/store_simulation.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -14,14 +14,15 @@
 
 const NodeAddress kClient{"10.2.0.99", 7001};
 
-WorldOptions calm() {
+WorldOptions quietOptions() {
     return {};
 }
 
 // Speaks to stores without any of the habits of an edge.
 class Client {
 public:
-    explicit Client(StoreWorld& play) : play_(play), transport_(play.world, play.network, kClient) {}
+    explicit Client(StoreWorld& stores)
+        : stores_(stores), transport_(stores.world, stores.network, kClient) {}
 
     template <class Reply, class Request>
     std::optional<Reply> ask(const NodeAddress& store, MessageKind kind, const Request& request) {
@@ -31,7 +32,7 @@
             if (result.verdict == Verdict::answered) answer = decode<Reply>(result.reply.body);
             done = true;
         });
-        play_.world.runUntil([&done] { return done; }, Millis(6000));
+        stores_.world.runUntil([&done] { return done; }, Millis(6000));
         return answer;
     }
     AcceptMessageRequest request(PartitionId partition, const MessageContent& content) const {
@@ -39,7 +40,7 @@
         made.edge = "edge-99";
         made.edge_address = kClient;
         made.partition = partition;
-        made.epoch = play_.view->epoch;
+        made.epoch = stores_.view->epoch;
         made.content = content;
         made.retention_ms = 90000;
         made.max_failures = 3;
@@ -48,29 +49,29 @@
         return made;
     }
     std::optional<AcceptStatus> accept(PartitionId partition, const MessageContent& content) {
-        const auto reply = ask<AcceptMessageReply>(play_.ownerOf(partition).address,
+        const auto reply = ask<AcceptMessageReply>(stores_.ownerOf(partition).address,
                                                    MessageKind::accept_message, request(partition, content));
         if (!reply) return std::nullopt;
         return reply->status;
     }
 
 private:
-    StoreWorld& play_;
+    StoreWorld& stores_;
     MemoryTransport transport_;
 };
 
 // A partition whose next owner, once the present one is gone, is not the store that has the copies; that
 // store.
-struct Placing {
+struct TestPlacement {
     PartitionId partition = 0;
     StoreMachine* holder = nullptr;
     StoreMachine* next_owner = nullptr;
 };
 
-Placing placingWithStrangeNextOwner(StoreWorld& play) {
-    for (PartitionId partition = 0; partition < play.options.partitions; ++partition) {
-        StoreMachine& next = *play.machines[(partition + 1) % 3];
-        StoreMachine& last = *play.machines[(partition + 2) % 3];
+TestPlacement placementWithoutCopyAtNextOwner(StoreWorld& stores) {
+    for (PartitionId partition = 0; partition < stores.options.partitions; ++partition) {
+        StoreMachine& next = *stores.machines[(partition + 1) % 3];
+        StoreMachine& last = *stores.machines[(partition + 2) % 3];
         const bool last_holds =
             storage::rendezvousWeight(last.name, partition) > storage::rendezvousWeight(next.name, partition);
         if (last_holds) return {partition, &last, &next};
@@ -79,108 +80,108 @@
     return {};
 }
 
-void startAll(StoreWorld& play) {
-    for (auto& machine : play.machines) {
-        if (!machine->process) play.start(*machine);
+void startAll(StoreWorld& stores) {
+    for (auto& machine : stores.machines) {
+        if (!machine->process) stores.start(*machine);
     }
-    play.changeView();
+    stores.changeView();
 }
 
 }  // namespace
 
 TEST_CASE("a repeated accept after a change of owner is answered once the new owner's copy is durable") {
     int answered = 0;
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(200); ++seed) {
-        StoreWorld play(seed, calm());
-        Client client(play);
-        const Placing place = placingWithStrangeNextOwner(play);
-        MessageContent content = play.content("plain");
+    for (std::uint64_t seed = 1; seed <= seedCount(200); ++seed) {
+        StoreWorld stores(seed, quietOptions());
+        Client client(stores);
+        const TestPlacement placement = placementWithoutCopyAtNextOwner(stores);
+        MessageContent content = stores.content("plain");
         content.delay_ms = 8000;
-        Ledger::Message& message = play.ledger.messages[content.id];
+        Ledger::Message& message = stores.ledger.messages[content.id];
         message.content = content;
-        message.partition = place.partition;
-        message.sent = play.world.now();
-        client.accept(place.partition, content);
-        play.wipe(play.ownerOf(place.partition));
-        play.changeView();
+        message.partition = placement.partition;
+        message.sent = stores.world.now();
+        client.accept(placement.partition, content);
+        stores.wipe(stores.ownerOf(placement.partition));
+        stores.changeView();
         // Asked again until the new owner has answered; its power and the other disk go at that moment.
         std::optional<AcceptStatus> status;
         for (int tries = 0; tries < 200 && status != AcceptStatus::stored; ++tries) {
-            status = client.accept(place.partition, content);
-            if (status != AcceptStatus::stored) play.world.run(Millis(1));
+            status = client.accept(placement.partition, content);
+            if (status != AcceptStatus::stored) stores.world.run(Millis(1));
         }
         REQUIRE(status == AcceptStatus::stored);
         ++answered;
-        message.accepted = play.world.now();
-        play.wipe(*place.holder);
-        play.cutPower(*place.next_owner);
-        startAll(play);
-        play.world.run(Millis(12'000));
+        message.accepted = stores.world.now();
+        stores.wipe(*placement.holder);
+        stores.cutPower(*placement.next_owner);
+        startAll(stores);
+        stores.world.run(Millis(12'000));
         INFO("seed " << seed);
-        CHECK(play.unfinished() == 0);
-        CHECK_MESSAGE(play.ledger.faults.empty(), play.faultText());
+        CHECK(stores.unfinished() == 0);
+        CHECK_MESSAGE(stores.ledger.faults.empty(), stores.faultText());
     }
     CHECK(answered > 0);
 }
 
 TEST_CASE("an end is durable soon after its report, also where nothing else is written") {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        StoreWorld play(seed, calm());
-        for (int i = 0; i < 5; ++i) play.anyEdge().submit(play.content("plain"), 3, false, i == 4);
-        play.world.run(Millis(2500));
-        REQUIRE(play.accepted() == 5);
-        REQUIRE(play.unfinished() == 0);
-        for (auto& machine : play.machines) play.cutPower(*machine);
-        for (auto& edge : play.edges) edge->kill();
-        for (auto& edge : play.edges) edge->restart();
-        startAll(play);
-        play.world.run(Millis(8000));
+        StoreWorld stores(seed, quietOptions());
+        for (int i = 0; i < 5; ++i) stores.anyEdge().submit(stores.content("plain"), 3, false, i == 4);
+        stores.world.run(Millis(2500));
+        REQUIRE(stores.accepted() == 5);
+        REQUIRE(stores.unfinished() == 0);
+        for (auto& machine : stores.machines) stores.cutPower(*machine);
+        for (auto& edge : stores.edges) edge->kill();
+        for (auto& edge : stores.edges) edge->restart();
+        startAll(stores);
+        stores.world.run(Millis(8000));
         INFO("seed " << seed);
-        for (const auto& [id, message] : play.ledger.messages) CHECK(message.runs == 1);
-        play.checkStates();
-        CHECK_MESSAGE(play.ledger.faults.empty(), play.faultText());
+        for (const auto& [id, message] : stores.ledger.messages) CHECK(message.runs == 1);
+        stores.checkStates();
+        CHECK_MESSAGE(stores.ledger.faults.empty(), stores.faultText());
     }
 }
 
 TEST_CASE("what is too large for one answer to a pull comes in several") {
     constexpr std::size_t kBody = 1u << 20;
     constexpr int kMessages = 20;
-    StoreWorld play(1, calm());
-    Client client(play);
-    const Placing place = placingWithStrangeNextOwner(play);
+    StoreWorld stores(1, quietOptions());
+    Client client(stores);
+    const TestPlacement placement = placementWithoutCopyAtNextOwner(stores);
     for (int i = 0; i < kMessages; ++i) {
-        MessageContent content = play.content("plain");
+        MessageContent content = stores.content("plain");
         content.body = std::string(kBody, 'b');
         content.delay_ms = 3000;
-        Ledger::Message& message = play.ledger.messages[content.id];
+        Ledger::Message& message = stores.ledger.messages[content.id];
         message.content = content;
-        message.partition = place.partition;
-        message.sent = play.world.now();
-        REQUIRE(client.accept(place.partition, content) == AcceptStatus::stored);
-        message.accepted = play.world.now();
+        message.partition = placement.partition;
+        message.sent = stores.world.now();
+        REQUIRE(client.accept(placement.partition, content) == AcceptStatus::stored);
+        message.accepted = stores.world.now();
     }
-    play.wipe(play.ownerOf(place.partition));
-    play.changeView();
-    play.world.run(Millis(1000));
+    stores.wipe(stores.ownerOf(placement.partition));
+    stores.changeView();
+    stores.world.run(Millis(1000));
     // The store that told all of them goes as well, once copies have been made.
-    REQUIRE(play.awaitPeered(Millis(3000)));
-    play.wipe(*place.holder);
-    play.changeView();
-    play.world.run(Millis(8000));
-    CHECK(play.unfinished() == 0);
-    CHECK_MESSAGE(play.ledger.faults.empty(), play.faultText());
+    REQUIRE(stores.awaitPeered(Millis(3000)));
+    stores.wipe(*placement.holder);
+    stores.changeView();
+    stores.world.run(Millis(8000));
+    CHECK(stores.unfinished() == 0);
+    CHECK_MESSAGE(stores.ledger.faults.empty(), stores.faultText());
 }
 
 TEST_CASE("a body that no store hands out now is not said to be nowhere") {
-    StoreWorld play(1, calm());
-    Client client(play);
-    StoreMachine& owner = play.ownerOf(0);
+    StoreWorld stores(1, quietOptions());
+    Client client(stores);
+    StoreMachine& owner = stores.ownerOf(0);
     RecordUpdate end;
     end.id = "m-1";
     end.phase = Phase::dead_letter;
     end.keep_until_wall_ms = 4'000'000'000'000;
     ReplicateRequest states;
-    states.epoch = play.view->epoch;
+    states.epoch = stores.view->epoch;
     states.updates = {end};
     ReplicateBatch batch;
     batch.requests = {states};
@@ -189,8 +190,8 @@
         return client.ask<StateReply>(owner.address, MessageKind::body_query, StateQuery{0, "m-1"})->status;
     };
     CHECK(ask() == QueryStatus::not_owner);
-    play.network.isolate(play.machines[2]->address.ip);
+    stores.network.isolate(stores.machines[2]->address.ip);
     CHECK(ask() == QueryStatus::not_owner);
-    play.network.healAll();
+    stores.network.healAll();
     CHECK(ask() == QueryStatus::not_owner);
 }
--- a/tests/cluster/store_far_edge_test.cpp
+++ b/tests/cluster/store_far_edge_test.cpp
@@ -3,7 +3,7 @@
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "tests/cluster/store_plays.hpp"
+#include "tests/cluster/store_simulation.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -45,7 +45,7 @@
 }  // namespace
 
 TEST_CASE("without faults no message runs twice at idle edges of another region") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(60); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(60); ++seed) {
         CAPTURE(seed);
         StoreWorld play(seed, farEdges());
         slowDown(play);
--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -16,8 +16,8 @@
 
 class StoreLeader {
 public:
-    explicit StoreLeader(StoreWorld& play)
-        : play_(play), self_(std::make_shared<StoreLeader*>(this)), view_(*play.view) {
+    explicit StoreLeader(StoreWorld& stores)
+        : stores_(stores), self_(std::make_shared<StoreLeader*>(this)), view_(*stores.view) {
         elect();
         scheduleTick();
     }
@@ -27,14 +27,14 @@
 
     // A leader whose reign begins now.
     void elect() {
-        absent_ = false;
-        listens_since_ = last_change_ = play_.world.now();
-        heard_.clear();
+        deposed_ = false;
+        listening_since_ = last_change_ = stores_.world.now();
+        leases_.clear();
         away_since_.clear();
-        forgetProgress();
+        resetProgress();
     }
     // Nobody leads until elect().
-    void depose() { absent_ = true; }
+    void depose() { deposed_ = true; }
     RetireVerdict orderRetirement(const std::string& name) { return cluster::orderRetirement(view_, name); }
     RetirePhase retirePhase(const std::string& name) const { return cluster::retirePhase(view_, name); }
     const StoreView& view() const { return view_; }
@@ -42,106 +42,107 @@
     std::function<void(const StoreView&)> on_view = [](const StoreView&) {};
 
 private:
-    struct Heard {
+    struct Lease {
         Member member;
         SteadyTime at;
     };
     static constexpr Millis kTick{100};
-    static constexpr Millis kSilence{1000};
-    static constexpr Millis kListenFirst{1200};
+    static constexpr Millis kLeaseTimeout{1000};
+    static constexpr Millis kListenTime{1200};
     static constexpr Millis kDropAfter{4000};
     static constexpr Millis kAskInterval{250};
     static constexpr Millis kEvenOutInterval{1000};
 
     void scheduleTick() {
-        play_.world.at(play_.world.now() + kTick, [self = self_] {
+        stores_.world.at(stores_.world.now() + kTick, [self = self_] {
             if (*self == nullptr) return;
             (*self)->tick();
             (*self)->scheduleTick();
         });
     }
     void tick() {
-        tellProcesses();
-        if (absent_) return;
-        hear();
-        noteAway();
-        if (waitsForPeering(view_)) ask();
+        sendViewToProcesses();
+        if (deposed_) return;
+        readLeases();
+        recordAbsences();
+        if (waitsForPeering(view_)) askOwners();
         const auto next = nextView(view_, observe(), rules());
         if (next) publish(*next);
     }
     bool reaches(const StoreMachine& machine) const {
-        return machine.process != nullptr && !play_.hidden.contains(machine.name);
+        return machine.process != nullptr && !stores_.hidden.contains(machine.name);
     }
-    void hear() {
-        for (const auto& machine : play_.machines) {
+    void readLeases() {
+        for (const auto& machine : stores_.machines) {
             if (!reaches(*machine)) continue;
-            Heard& heard = heard_[machine->name];
-            heard.at = play_.world.now();
-            heard.member.name = machine->name;
-            heard.member.kind = NodeKind::store;
-            heard.member.zone = machine->zone;
-            heard.member.address = machine->address;
-            heard.member.incarnation = machine->incarnation;
-            heard.member.leaving = machine->leaving;
-            heard.member.disk_empty = machine->disk_empty;
+            Lease& lease = leases_[machine->name];
+            lease.at = stores_.world.now();
+            lease.member.name = machine->name;
+            lease.member.kind = NodeKind::store;
+            lease.member.zone = machine->zone;
+            lease.member.address = machine->address;
+            lease.member.incarnation = machine->incarnation;
+            lease.member.leaving = machine->leaving;
+            lease.member.disk_empty = machine->disk_empty;
         }
     }
-    bool hasListened() const { return play_.world.now() - listens_since_ >= kListenFirst; }
+    bool hasListenedLongEnough() const { return stores_.world.now() - listening_since_ >= kListenTime; }
     std::vector<StoreObservation> observe() const {
         std::vector<StoreObservation> observed;
-        for (const auto& [name, heard] : heard_) {
-            const bool silent = play_.world.now() - heard.at > kSilence;
-            if (!silent || hasListened()) observed.push_back({heard.member, silent});
+        for (const auto& [name, lease] : leases_) {
+            const bool silent = stores_.world.now() - lease.at > kLeaseTimeout;
+            if (!silent || hasListenedLongEnough()) observed.push_back({lease.member, silent});
         }
-        if (!hasListened()) return observed;
+        if (!hasListenedLongEnough()) return observed;
         for (const StoreMember& store : view_.stores) {
-            if (!heard_.contains(store.member.name)) observed.push_back({store.member, true});
+            if (!leases_.contains(store.member.name)) observed.push_back({store.member, true});
         }
         return observed;
     }
-    void noteAway() {
+    void recordAbsences() {
         std::map<std::string, SteadyTime> away;
         for (const StoreMember& store : view_.stores) {
             if (store.alive) continue;
             const auto known = away_since_.find(store.member.name);
-            away[store.member.name] = known == away_since_.end() ? play_.world.now() : known->second;
+            away[store.member.name] = known == away_since_.end() ? stores_.world.now() : known->second;
         }
         away_since_ = std::move(away);
     }
     ViewRules rules() const {
         ViewRules rules;
-        rules.settled = play_.world.now() - last_change_ >= Millis(3000);
+        rules.settled = stores_.world.now() - last_change_ >= Millis(3000);
         rules.peered = isPeered();
         for (const auto& [name, since] : away_since_) {
-            if (play_.world.now() - since >= kDropAfter) rules.long_away.push_back(name);
+            if (stores_.world.now() - since >= kDropAfter) rules.long_away.push_back(name);
         }
-        rules.may_even_out = play_.world.now() - last_change_ >= kEvenOutInterval;
+        rules.may_even_out = stores_.world.now() - last_change_ >= kEvenOutInterval;
         rules.moves_gradually = true;
         return rules;
     }
     void publish(StoreView next) {
         view_ = std::move(next);
-        last_change_ = play_.world.now();
-        forgetProgress();
-        play_.publish(view_);
-        told_.clear();
+        last_change_ = stores_.world.now();
+        resetProgress();
+        stores_.publish(view_);
+        informed_.clear();
         on_view(view_);
     }
     // A process that has just started, or could not be reached, gets the present view as well.
-    void tellProcesses() {
-        for (const auto& machine : play_.machines) {
-            if (reaches(*machine) && told_.insert(machine->incarnation).second) play_.tellView(*machine);
+    void sendViewToProcesses() {
+        for (const auto& machine : stores_.machines) {
+            if (reaches(*machine) && informed_.insert(machine->incarnation).second)
+                stores_.deliverView(*machine);
         }
     }
-    void forgetProgress() {
+    void resetProgress() {
         done_.clear();
-        next_ask_ = play_.world.now();
+        next_ask_ = stores_.world.now();
         transport_ =
-            std::make_unique<MemoryTransport>(play_.world, play_.network, NodeAddress{"10.3.0.1", 7000});
+            std::make_unique<MemoryTransport>(stores_.world, stores_.network, NodeAddress{"10.3.0.1", 7000});
     }
-    void ask() {
-        if (play_.world.now() < next_ask_) return;
-        next_ask_ = play_.world.now() + kAskInterval;
+    void askOwners() {
+        if (stores_.world.now() < next_ask_) return;
+        next_ask_ = stores_.world.now() + kAskInterval;
         std::set<std::int32_t> owners;
         for (const PartitionOwner& partition : view_.partitions) owners.insert(partition.owner);
         for (const std::int32_t owner : owners) {
@@ -165,17 +166,17 @@
         });
     }
 
-    StoreWorld& play_;
+    StoreWorld& stores_;
     std::shared_ptr<StoreLeader*> self_;
     StoreView view_;
-    bool absent_ = false;
-    SteadyTime listens_since_{};
+    bool deposed_ = false;
+    SteadyTime listening_since_{};
     SteadyTime last_change_{};
     SteadyTime next_ask_{};
-    std::map<std::string, Heard> heard_;
+    std::map<std::string, Lease> leases_;
     std::map<std::string, SteadyTime> away_since_;
     std::set<std::string> done_;
-    std::set<Incarnation> told_;
+    std::set<Incarnation> informed_;
     std::unique_ptr<MemoryTransport> transport_;
 };
 
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -20,7 +20,7 @@
     Replica replica{disk, clock, true, Millis(120000)};
 
     Owner() { replica.load(); }
-    void has(const MessageId& id) {
+    void addMessage(const MessageId& id) {
         MessageRecord record;
         record.content.id = id;
         record.partition = 1;
@@ -28,7 +28,7 @@
         record.callback_done = true;
         replica.store(record, false);
     }
-    void ended(const MessageId& id) {
+    void complete(const MessageId& id) {
         RecordUpdate update;
         update.partition = 1;
         update.id = id;
@@ -66,104 +66,104 @@
 TEST_CASE("a store that has been away since before the last peering is not needed") {
     std::vector<PeerStore> stores = peers({"b", "d"}, {"c"});
     stores.back().away_epoch = 7;
-    PullReply told = answer(true);
+    PullReply reply = answer(true);
     SUBCASE("peered before it went: it may hold the only other copy") {
         PeeringRound round(1, stores, 1, true, 6);
-        told.peered = 6;
-        round.onReply("b", told);
-        CHECK(!round.enough());
+        reply.peered = 6;
+        round.onReply("b", reply);
+        CHECK(!round.hasQuorum());
         round.onReply("d", answer(true));
-        CHECK(round.enough());
+        CHECK(round.hasQuorum());
     }
     SUBCASE("peered without it, as another replica was told") {
         PeeringRound round(1, stores, 1, true, 6);
-        told.peered = 7;
-        round.onReply("b", told);
-        CHECK(round.enough());
+        reply.peered = 7;
+        round.onReply("b", reply);
+        CHECK(round.hasQuorum());
     }
     SUBCASE("its own answer does not stand for that of another one") {
         PeeringRound round(1, stores, 1, true, 8);
-        CHECK(!round.enough());
+        CHECK(!round.hasQuorum());
         round.onReply("c", answer(true));
-        CHECK(!round.enough());
+        CHECK(!round.hasQuorum());
         round.onReply("d", answer(false));
-        CHECK(!round.enough());
+        CHECK(!round.hasQuorum());
         round.onReply("b", answer(true));
-        CHECK(round.enough());
+        CHECK(round.hasQuorum());
     }
     SUBCASE("back and alive, it is needed again") {
         stores.back().alive = true;
         PeeringRound round(1, stores, 1, true, 8);
         round.onReply("b", answer(true));
-        CHECK(!round.enough());
+        CHECK(!round.hasQuorum());
     }
 }
 
 TEST_CASE("n - f replicas that lack nothing are needed, the owner's own counts if it lacks nothing") {
     PeeringRound round(1, peers({"b", "c"}), 1, true);
-    CHECK(!round.enough());
+    CHECK(!round.hasQuorum());
     round.onReply("b", answer(false));
-    CHECK(!round.enough());
+    CHECK(!round.hasQuorum());
     round.onReply("c", answer(true));
-    CHECK(round.enough());
+    CHECK(round.hasQuorum());
 
     PeeringRound empty_owner(1, peers({"b", "c"}), 1, false);
     empty_owner.onReply("b", answer(true));
-    CHECK(!empty_owner.enough());
+    CHECK(!empty_owner.hasQuorum());
     empty_owner.onReply("c", answer(true));
-    CHECK(empty_owner.enough());
+    CHECK(empty_owner.hasQuorum());
 
     PeeringRound five(1, peers({"b", "c", "d", "e"}), 2, true);
     five.onReply("b", answer(true));
-    CHECK(!five.enough());
+    CHECK(!five.hasQuorum());
     five.onReply("d", answer(true));
-    CHECK(five.enough());
+    CHECK(five.hasQuorum());
 }
 
 TEST_CASE("a repeated answer counts once") {
     PeeringRound round(1, peers({"b", "c", "d", "e"}), 2, true);
     round.onReply("b", answer(true));
     round.onReply("b", answer(true));
-    CHECK(!round.enough());
+    CHECK(!round.hasQuorum());
 }
 
 TEST_CASE("a lost machine and a wiped one are too much for one tolerated loss, until all have answered") {
     PeeringRound round(1, peers({"b"}, {"c"}), 1, true);
     round.onReply("b", answer(false));
-    CHECK(!round.enough());
+    CHECK(!round.hasQuorum());
     round.onReply("c", answer(true));
-    CHECK(round.enough());
+    CHECK(round.hasQuorum());
     PeeringRound nothing_left(1, peers({"b", "c"}), 1, false);
     nothing_left.onReply("b", answer(false));
     nothing_left.onReply("c", answer(false));
-    CHECK(nothing_left.enough());
+    CHECK(nothing_left.hasQuorum());
 }
 
 TEST_CASE("a store that is retiring answers, but holds no copies, and is waited for before all is done") {
     Owner owner;
-    owner.has("a");
+    owner.addMessage("a");
     auto stores = peers({"b", "c"});
     stores[0].keeps_copies = false;
     PeeringRound round(1, stores, 1, true);
     round.onReply("c", answer(true));
-    CHECK(round.enough());
-    CHECK(round.enoughAlive());
-    CHECK(!round.emptied());
+    CHECK(round.hasQuorum());
+    CHECK(round.canReachRedundancy());
+    CHECK(!round.haveRetiringAnswered());
     round.onReply("b", answer(true, {"a"}));
-    CHECK(round.emptied());
+    CHECK(round.haveRetiringAnswered());
     const auto missing = owner.missing(round);
     REQUIRE(missing.size() == 1);
     CHECK(missing[0].store == "c");
     CHECK(missing[0].with_content);
     stores[1].alive = false;
-    CHECK(!PeeringRound(1, stores, 1, true).enoughAlive());
+    CHECK(!PeeringRound(1, stores, 1, true).canReachRedundancy());
 }
 
 TEST_CASE(
     "the contents of dead letters are copied like live ones, the contents of completed messages are not") {
     Owner owner;
-    for (const char* id : {"dead", "done"}) owner.has(id);
-    owner.ended("done");
+    for (const char* id : {"dead", "done"}) owner.addMessage(id);
+    owner.complete("done");
     RecordUpdate end;
     end.partition = 1;
     end.id = "dead";
@@ -189,16 +189,16 @@
 TEST_CASE("without tolerated losses every store is needed") {
     PeeringRound round(1, peers({"b", "c"}), 0, true);
     round.onReply("b", answer(true));
-    CHECK(!round.enough());
+    CHECK(!round.hasQuorum());
     round.onReply("c", answer(true));
-    CHECK(round.enough());
-    CHECK(PeeringRound(1, {}, 0, true).enough());
+    CHECK(round.hasQuorum());
+    CHECK(PeeringRound(1, {}, 0, true).hasQuorum());
 }
 
 TEST_CASE("live messages get their content copied until they stand on enough live disks") {
     Owner owner;
-    owner.has("two copies");
-    owner.has("mine only");
+    owner.addMessage("two copies");
+    owner.addMessage("mine only");
     PeeringRound round(1, peers({"b", "c"}), 1, true);
     round.onReply("b", answer(true));
     round.onReply("c", answer(true, {"two copies"}));
@@ -207,28 +207,28 @@
     CHECK(missing[0].id == "mine only");
     CHECK(missing[0].store == "b");
     CHECK(missing[0].with_content);
-    round.copied(missing[0], owner.replica.state(1, "mine only", *owner.replica.find(1, "mine only")));
+    round.onCopied(missing[0], owner.replica.state(1, "mine only", *owner.replica.find(1, "mine only")));
     CHECK(owner.missing(round).empty());
 }
 
 TEST_CASE("copies on dead stores do not count") {
     Owner owner;
-    owner.has("a");
+    owner.addMessage("a");
     PeeringRound round(1, peers({"b"}, {"c"}), 1, true);
     round.onReply("c", answer(true, {"a"}));
     round.onReply("b", answer(true));
     const auto missing = owner.missing(round);
     REQUIRE(missing.size() == 1);
     CHECK(missing[0].store == "b");
-    CHECK(round.enoughAlive());
+    CHECK(round.canReachRedundancy());
     PeeringRound alone(1, peers({}, {"b", "c"}), 1, true);
-    CHECK(!alone.enoughAlive());
+    CHECK(!alone.canReachRedundancy());
 }
 
 TEST_CASE("a store that is behind gets the state, and an end stands on enough stores") {
     Owner owner;
-    owner.has("a");
-    owner.ended("a");
+    owner.addMessage("a");
+    owner.complete("a");
     PeeringRound behind(1, peers({"b", "c"}), 1, true);
     behind.onReply("b", answer(true, {"a"}));
     behind.onReply("c", answer(true));
@@ -247,13 +247,13 @@
 
 TEST_CASE("a copy that was made before its store answered does not count as the answer") {
     Owner owner;
-    owner.has("a");
+    owner.addMessage("a");
     PeeringRound round(1, peers({"b", "c"}), 1, true);
     round.onReply("c", answer(true));
     const auto missing = owner.missing(round);
     REQUIRE(missing.size() == 1);
     CHECK(missing[0].store == "b");
-    round.copied(missing[0], owner.replica.state(1, "a", *owner.replica.find(1, "a")));
-    CHECK(!round.answered("b"));
+    round.onCopied(missing[0], owner.replica.state(1, "a", *owner.replica.find(1, "a")));
+    CHECK(!round.hasAnswered("b"));
     CHECK(round.holders("a") == std::vector<std::string>{"b"});
 }
--- a/tests/cluster/store_replica_test.cpp
+++ b/tests/cluster/store_replica_test.cpp
@@ -155,26 +155,26 @@
 
 TEST_CASE("promises and validity outlive the process") {
     Machine machine;
-    CHECK(machine.replica->valid(3));
+    CHECK(machine.replica->isValid(3));
     machine.replica->promise(3, 7);
     machine.start(false);
     CHECK(machine.replica->promised(3) == 7);
-    CHECK(machine.replica->valid(3));
-    CHECK(machine.replica->valid(4));
+    CHECK(machine.replica->isValid(3));
+    CHECK(machine.replica->isValid(4));
     machine.replica->promise(3, 5);
     CHECK(machine.replica->promised(3) == 7);
 }
 
 TEST_CASE("a machine that lost its disk is not valid until it is told so by the newest owner") {
     Machine machine(false);
-    CHECK(!machine.replica->valid(3));
+    CHECK(!machine.replica->isValid(3));
     machine.replica->promise(3, 7);
     CHECK(!machine.replica->markValid(3, 6));
-    CHECK(!machine.replica->valid(3));
+    CHECK(!machine.replica->isValid(3));
     CHECK(machine.replica->markValid(3, 7));
     machine.start(false);
-    CHECK(machine.replica->valid(3));
-    CHECK(!machine.replica->valid(4));
+    CHECK(machine.replica->isValid(3));
+    CHECK(!machine.replica->isValid(4));
 }
 
 TEST_CASE("nothing changes where the disk has no room") {
--- a/tests/cluster/store_replicator_test.cpp
+++ b/tests/cluster/store_replicator_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // One store that sends, and another one that answers as it is told to.
-struct Play {
+struct ReplicatorFixture {
     World world{1};
     Network network{world};
     SimulatedScheduler scheduler{world};
@@ -30,7 +30,7 @@
     Epoch promised = 1;
     std::vector<ReplicateOutcome> outcomes;
 
-    Play() {
+    ReplicatorFixture() {
         replica.load();
         auto view = std::make_shared<StoreView>();
         view->epoch = 1;
@@ -62,98 +62,99 @@
 }  // namespace
 
 TEST_CASE("what is sent in one turn of the loop travels in one call") {
-    Play play;
-    for (int i = 0; i < 20; ++i) play.send("m" + std::to_string(i));
-    play.world.run(Millis(50));
-    CHECK(play.calls.size() == 1);
-    CHECK(play.outcomes == std::vector<ReplicateOutcome>(20, ReplicateOutcome::stored));
-    CHECK(play.replicator.idle());
+    ReplicatorFixture fixture;
+    for (int i = 0; i < 20; ++i) fixture.send("m" + std::to_string(i));
+    fixture.world.run(Millis(50));
+    CHECK(fixture.calls.size() == 1);
+    CHECK(fixture.outcomes == std::vector<ReplicateOutcome>(20, ReplicateOutcome::stored));
+    CHECK(fixture.replicator.idle());
 }
 
 TEST_CASE("at most two calls are under way; what comes meanwhile waits for their answers") {
-    Play play;
-    play.network.delay = Millis(20);
+    ReplicatorFixture fixture;
+    fixture.network.delay = Millis(20);
     for (int turn = 0; turn < 10; ++turn) {
-        play.send("m" + std::to_string(turn));
-        play.world.run(Millis(1));
+        fixture.send("m" + std::to_string(turn));
+        fixture.world.run(Millis(1));
     }
-    play.world.run(Millis(30));
-    CHECK(play.calls.size() == 2);
-    play.world.run(Millis(200));
-    CHECK(play.calls.size() == 3);
-    CHECK(play.calls.back().requests.size() == 8);
-    CHECK(play.outcomes.size() == 10);
+    fixture.world.run(Millis(30));
+    CHECK(fixture.calls.size() == 2);
+    fixture.world.run(Millis(200));
+    CHECK(fixture.calls.size() == 3);
+    CHECK(fixture.calls.back().requests.size() == 8);
+    CHECK(fixture.outcomes.size() == 10);
 }
 
 TEST_CASE("large records are spread over several calls") {
-    Play play;
-    for (int i = 0; i < 4; ++i) play.send("m" + std::to_string(i), 900'000);
-    play.world.run(Millis(100));
-    CHECK(play.calls.size() == 2);
-    CHECK(play.outcomes.size() == 4);
+    ReplicatorFixture fixture;
+    for (int i = 0; i < 4; ++i) fixture.send("m" + std::to_string(i), 900'000);
+    fixture.world.run(Millis(100));
+    CHECK(fixture.calls.size() == 2);
+    CHECK(fixture.outcomes.size() == 4);
 }
 
 TEST_CASE("a replica that has promised a newer epoch refuses, each part by its own epoch") {
-    Play play;
-    play.promised = 2;
-    play.send("old", 10, 1);
-    play.send("new", 10, 2);
-    play.world.run(Millis(50));
-    CHECK(play.outcomes == std::vector<ReplicateOutcome>{ReplicateOutcome::fenced, ReplicateOutcome::stored});
+    ReplicatorFixture fixture;
+    fixture.promised = 2;
+    fixture.send("old", 10, 1);
+    fixture.send("new", 10, 2);
+    fixture.world.run(Millis(50));
+    CHECK(fixture.outcomes ==
+          std::vector<ReplicateOutcome>{ReplicateOutcome::fenced, ReplicateOutcome::stored});
 }
 
 TEST_CASE("silence and a closed port are failures, and the store is not healthy until it answers again") {
-    Play play;
-    CHECK(play.replicator.healthy("b"));
-    play.network.isolate("10.1.0.2");
-    play.send("silent");
-    play.world.run(kReplicateTimeout + Millis(10));
-    CHECK(play.outcomes == std::vector<ReplicateOutcome>{ReplicateOutcome::failed});
-    CHECK(!play.replicator.healthy("b"));
-    play.network.healAll();
-    play.send("again");
-    play.world.run(Millis(50));
-    CHECK(play.replicator.healthy("b"));
-    play.other.reset();
-    play.send("closed");
-    play.world.run(Millis(50));
-    CHECK(play.outcomes.back() == ReplicateOutcome::failed);
+    ReplicatorFixture fixture;
+    CHECK(fixture.replicator.healthy("b"));
+    fixture.network.isolate("10.1.0.2");
+    fixture.send("silent");
+    fixture.world.run(kReplicateTimeout + Millis(10));
+    CHECK(fixture.outcomes == std::vector<ReplicateOutcome>{ReplicateOutcome::failed});
+    CHECK(!fixture.replicator.healthy("b"));
+    fixture.network.healAll();
+    fixture.send("again");
+    fixture.world.run(Millis(50));
+    CHECK(fixture.replicator.healthy("b"));
+    fixture.other.reset();
+    fixture.send("closed");
+    fixture.world.run(Millis(50));
+    CHECK(fixture.outcomes.back() == ReplicateOutcome::failed);
 }
 
 TEST_CASE("a store that the view does not name fails at once") {
-    Play play;
+    ReplicatorFixture fixture;
     std::vector<ReplicateOutcome> outcomes;
-    play.replicator.sendState("c", 1, RecordUpdate{},
-                              [&](ReplicateOutcome outcome) { outcomes.push_back(outcome); });
-    play.world.run(Millis(1));
+    fixture.replicator.sendState("c", 1, RecordUpdate{},
+                                 [&](ReplicateOutcome outcome) { outcomes.push_back(outcome); });
+    fixture.world.run(Millis(1));
     CHECK(outcomes == std::vector<ReplicateOutcome>{ReplicateOutcome::failed});
 }
 
 TEST_CASE("noted states go out with the next flush, as they are then, until the store has them") {
-    Play play;
+    ReplicatorFixture fixture;
     MessageRecord record;
     record.content.id = "a";
     record.partition = 3;
-    record.accepted_wall_ms = play.clock.wallMillis();
-    play.replica.store(record, false);
-    play.replicator.noteState("b", 3, "a");
-    play.replicator.noteState("b", 3, "a");
+    record.accepted_wall_ms = fixture.clock.wallMillis();
+    fixture.replica.store(record, false);
+    fixture.replicator.scheduleStateUpdate("b", 3, "a");
+    fixture.replicator.scheduleStateUpdate("b", 3, "a");
     RecordUpdate update;
     update.partition = 3;
     update.id = "a";
     update.failures = 2;
-    play.replica.merge(update);
-    play.network.isolate("10.1.0.2");
-    play.replicator.flush();
-    play.world.run(Millis(1500));
-    CHECK(!play.replicator.idle());
-    play.network.healAll();
-    play.replicator.flush();
-    play.world.run(Millis(50));
-    REQUIRE(play.calls.size() == 1);
-    REQUIRE(play.calls[0].requests.size() == 1);
-    CHECK(!play.calls[0].requests[0].durable);
-    REQUIRE(play.calls[0].requests[0].updates.size() == 1);
-    CHECK(play.calls[0].requests[0].updates[0].failures == 2);
-    CHECK(play.replicator.idle());
+    fixture.replica.merge(update);
+    fixture.network.isolate("10.1.0.2");
+    fixture.replicator.flush();
+    fixture.world.run(Millis(1500));
+    CHECK(!fixture.replicator.idle());
+    fixture.network.healAll();
+    fixture.replicator.flush();
+    fixture.world.run(Millis(50));
+    REQUIRE(fixture.calls.size() == 1);
+    REQUIRE(fixture.calls[0].requests.size() == 1);
+    CHECK(!fixture.calls[0].requests[0].durable);
+    REQUIRE(fixture.calls[0].requests[0].updates.size() == 1);
+    CHECK(fixture.calls[0].requests[0].updates[0].failures == 2);
+    CHECK(fixture.replicator.idle());
 }
--- a/tests/cluster/store_retirement_test.cpp
+++ b/tests/cluster/store_retirement_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <set>
 
-#include "tests/cluster/store_plays.hpp"
+#include "tests/cluster/store_simulation.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -52,7 +52,7 @@
     std::size_t content = 0;  // its content
 };
 
-Copies copiesElsewhere(const LeaderPlay& play, const StoreView& view, PartitionId partition,
+Copies copiesElsewhere(const LeaderSimulation& play, const StoreView& view, PartitionId partition,
                        const MessageId& id) {
     Copies copies;
     for (const auto& machine : play.stores.machines) {
@@ -70,7 +70,7 @@
 
 // When a view first shows a retirement as completed, f + 1 of the other disks must hold, synced: the messages
 // that have not ended, the ends that the retired store knew, and the contents of dead letters.
-void checkDisks(const LeaderPlay& play, const StoreView& view, const std::string& retired) {
+void checkDisks(const LeaderSimulation& play, const StoreView& view, const std::string& retired) {
     const SteadyTime now = play.stores.world.now();
     const std::size_t required = std::size_t{play.stores.options.tolerated} + 1;
     const auto machine = std::find_if(play.stores.machines.begin(), play.stores.machines.end(),
@@ -91,7 +91,7 @@
 // `victims` other machines lose their disks; they start again with empty ones.
 class Retirement {
 public:
-    explicit Retirement(LeaderPlay& play) : play_(play) {
+    explicit Retirement(LeaderSimulation& play) : play_(play) {
         play_.leader.on_view = [this](const StoreView& view) { onView(view); };
     }
 
@@ -130,12 +130,12 @@
         });
     }
 
-    LeaderPlay& play_;
+    LeaderSimulation& play_;
     std::set<std::string> ordered_;
     std::set<std::string> completed_;
 };
 
-void awaitCompleted(LeaderPlay& play, const Retirement& retirement, Millis most) {
+void awaitCompleted(LeaderSimulation& play, const Retirement& retirement, Millis most) {
     const SteadyTime end = play.world().now() + most;
     while (!retirement.completed() && play.world().now() < end) play.trafficFor(Millis(100));
     INFO("seed " << play.seed);
@@ -145,7 +145,7 @@
 }  // namespace
 
 TEST_CASE("a restarted owner is not peered in a view that names its previous process") {
-    StoreWorld play(1, optionsOfPlay(3, 1));
+    StoreWorld play(1, simulationOptions(3, 1));
     REQUIRE(play.awaitPeered(Millis(3000)));
     StoreMachine& owner = play.ownerOf(0);
     play.stop(owner);
@@ -158,9 +158,9 @@
 }
 
 TEST_CASE("a retired store is wiped while others lose their disks") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         const std::uint32_t tolerated = seed % 4 == 0 ? 2 : 1;
-        LeaderPlay play(seed, tolerated == 2 ? 6 : 4, tolerated);
+        LeaderSimulation play(seed, tolerated == 2 ? 6 : 4, tolerated);
         Retirement retirement(play);
         retirement.victims = tolerated;
         play.traffic(60);
@@ -172,8 +172,8 @@
 }
 
 TEST_CASE("an owner starts again during a retirement") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        LeaderPlay play(seed, 4, 1);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        LeaderSimulation play(seed, 4, 1);
         Retirement retirement(play);
         retirement.victims = 1;
         play.traffic(60);
@@ -194,8 +194,8 @@
 }
 
 TEST_CASE("a store is retired during a roll, with a change of the leader") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        LeaderPlay play(seed, 5, 1);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        LeaderSimulation play(seed, 5, 1);
         Retirement retirement(play);
         retirement.victims = seed % 2;
         play.traffic(60);
@@ -227,8 +227,8 @@
 }
 
 TEST_CASE("a retiring store is stopped, killed, cut off or wiped halfway") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        LeaderPlay play(seed, 4, 1);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        LeaderSimulation play(seed, 4, 1);
         Retirement retirement(play);
         play.traffic(60);
         StoreMachine& retiring = play.anyMachine();
@@ -255,8 +255,8 @@
 }
 
 TEST_CASE("two stores are retired at once, and a third is refused where too few would be left") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        LeaderPlay play(seed, 5, 1);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        LeaderSimulation play(seed, 5, 1);
         Retirement retirement(play);
         play.traffic(60);
         CHECK(retirement.order(*play.stores.machines[0]) == RetireVerdict::ordered);
--- a/tests/cluster/store_plays.hpp
+++ b/tests/cluster/store_simulation.hpp
@@ -14,12 +14,13 @@
 namespace amberswitch::cluster::simulation {
 
 // Of each play; AMBERSWITCH_STORE_SEEDS overrides it.
-inline std::uint64_t seedsOfPlay(std::uint64_t usual = 40) {
+inline std::uint64_t seedCount(std::uint64_t usual = 40) {
     const char* const chosen = std::getenv("AMBERSWITCH_STORE_SEEDS");
     return chosen == nullptr ? usual : std::strtoull(chosen, nullptr, 10);
 }
 
-inline WorldOptions optionsOfPlay(int stores, std::uint32_t tolerated, std::uint32_t tolerated_zones = 0) {
+inline WorldOptions simulationOptions(int stores, std::uint32_t tolerated,
+                                      std::uint32_t tolerated_zones = 0) {
     WorldOptions options;
     options.stores = stores;
     options.tolerated = tolerated;
@@ -31,10 +32,13 @@
     return options;
 }
 
-class LeaderPlay {
+class LeaderSimulation {
 public:
-    LeaderPlay(std::uint64_t number, int machines, std::uint32_t tolerated, std::uint32_t tolerated_zones = 0)
-        : seed(number), stores(number, optionsOfPlay(machines, tolerated, tolerated_zones)), leader(stores) {
+    LeaderSimulation(std::uint64_t number, int machines, std::uint32_t tolerated,
+                     std::uint32_t tolerated_zones = 0)
+        : seed(number),
+          stores(number, simulationOptions(machines, tolerated, tolerated_zones)),
+          leader(stores) {
         stores.world.run(Millis(500));
     }
 
--- a/tests/cluster/store_world.hpp
+++ b/tests/cluster/store_world.hpp
@@ -52,8 +52,8 @@
         std::uint32_t max_failures = 3;
         std::set<std::string> stamps;  // of runs that succeeded
         bool rejected = false;
-        bool poison = false;    // always 500
-        bool hopeless = false;  // always 422
+        bool always_fails = false;     // always 500
+        bool always_rejected = false;  // always 422
         int runs = 0;
         int runs_after_read_success = 0;
         std::vector<SteadyTime> late_runs;  // that began after an edge had read the message's end
@@ -84,10 +84,10 @@
 
 class FakeEdge {
 public:
-    FakeEdge(StoreWorld& play, int index);
+    FakeEdge(StoreWorld& stores, int index);
     void onView(std::shared_ptr<const StoreView> view);
-    void submit(MessageContent content, std::uint32_t max_failures, bool poison = false,
-                bool hopeless = false);
+    void submit(MessageContent content, std::uint32_t max_failures, bool always_fails = false,
+                bool always_rejected = false);
     std::optional<StateReply> query(MessageKind kind, PartitionId partition, const MessageId& id);
     void kill();
     void restart();
@@ -122,7 +122,7 @@
     void syncTo(const NodeAddress& store);
     bool runsFor(const NodeAddress& store) const;
 
-    StoreWorld& play_;
+    StoreWorld& stores_;
     std::string name_;
     std::string zone_;
     NodeAddress address_;
@@ -266,11 +266,11 @@
         distribute(std::make_shared<StoreView>(made));
     }
     // The process of the machine, if one runs, hears of the present view a little later.
-    void tellView(StoreMachine& machine) {
-        tell(machine.process ? machine.process->scheduler.get() : nullptr,
-             [this, raw = &machine, next = view] {
-                 if (!hidden.contains(raw->name)) raw->process->node->onView(next);
-             });
+    void deliverView(StoreMachine& machine) {
+        postDelayed(machine.process ? machine.process->scheduler.get() : nullptr,
+                    [this, raw = &machine, next = view] {
+                        if (!hidden.contains(raw->name)) raw->process->node->onView(next);
+                    });
     }
     // A new and empty machine, in the view from the next change on.
     StoreMachine& addMachine() {
@@ -360,7 +360,7 @@
                           [](const auto& entry) { return entry.second.accepted.has_value(); }));
     }
     // The most arrivals at a service in any span of that length.
-    std::size_t mostIn(const std::string& service, Millis span) {
+    std::size_t maxArrivalsIn(const std::string& service, Millis span) {
         const auto& times = ledger.arrivals[service];
         std::size_t most = 0;
         std::size_t first = 0;
@@ -431,7 +431,7 @@
     }
     void distribute(std::shared_ptr<const StoreView> next) {
         view = std::move(next);
-        for (auto& machine : machines) tellView(*machine);
+        for (auto& machine : machines) deliverView(*machine);
         for (auto& edge : edges) {
             world.at(world.now() + drawDelay(), [&edge, next = view] {
                 if (edge->alive()) edge->onView(next);
@@ -449,7 +449,7 @@
         });
     }
     Millis drawDelay() { return Millis(1 + static_cast<std::int64_t>(world.chance() * 80)); }
-    void tell(SimulatedScheduler* scheduler, std::function<void()> work) {
+    void postDelayed(SimulatedScheduler* scheduler, std::function<void()> work) {
         if (scheduler == nullptr) return;
         const Millis delay = drawDelay();
         scheduler->post([this, scheduler, delay, work = std::move(work)] {
@@ -467,7 +467,7 @@
             if (store.keepsCopies() && !store.member.leaving)
                 owner.owner = static_cast<std::int32_t>(candidate);
         }
-        if (view) owner.previous = placeNow(*view, view->partitions[partition].owner);
+        if (view) owner.previous = indexInView(*view, view->partitions[partition].owner);
         if (owner.previous >= 0) {
             owner.previous_stopped =
                 !viewed[static_cast<std::size_t>(owner.previous)]->process || owner.previous == owner.owner;
@@ -475,7 +475,7 @@
         return owner;
     }
     // A store of an earlier view as a place in the new one, -1 where it is not there any more.
-    std::int32_t placeNow(const StoreView& earlier, std::int32_t place) const {
+    std::int32_t indexInView(const StoreView& earlier, std::int32_t place) const {
         if (place < 0) return -1;
         const std::string& name = earlier.stores[static_cast<std::size_t>(place)].member.name;
         for (std::size_t now = 0; now < viewed.size(); ++now) {
--- a/tests/cluster/store_world_edge.hpp
+++ b/tests/cluster/store_world_edge.hpp
@@ -5,8 +5,8 @@
 
 namespace amberswitch::cluster::simulation {
 
-inline FakeEdge::FakeEdge(StoreWorld& play, int index)
-    : play_(play),
+inline FakeEdge::FakeEdge(StoreWorld& stores, int index)
+    : stores_(stores),
       name_("edge-" + std::to_string(index)),
       zone_("zone-" + std::to_string(index % 3)),
       address_{"10.2.0." + std::to_string(index + 1), 7001} {
@@ -14,13 +14,13 @@
 }
 
 inline void FakeEdge::restart() {
-    incarnation_ = ++play_.last_incarnation;
+    incarnation_ = ++stores_.last_incarnation;
     process_ = std::make_unique<Process>();
-    process_->scheduler = std::make_unique<SimulatedScheduler>(play_.world);
-    process_->transport = std::make_unique<MemoryTransport>(play_.world, play_.network, address_);
+    process_->scheduler = std::make_unique<SimulatedScheduler>(stores_.world);
+    process_->transport = std::make_unique<MemoryTransport>(stores_.world, stores_.network, address_);
     process_->transport->serve(
         [this](const Envelope& request, Responder respond) { serve(request, respond); });
-    view_ = play_.view;
+    view_ = stores_.view;
     sync();
 }
 
@@ -49,7 +49,7 @@
 inline void FakeEdge::sync() {
     process_->sync_timer = process_->scheduler->after(Millis(1000), [this] { sync(); });
     if (!view_) return;
-    const bool is_idle = play_.options.far_edges && heartbeats_++ % kHeartbeatsWhileIdle != 0;
+    const bool is_idle = stores_.options.far_edges && heartbeats_++ % kHeartbeatsWhileIdle != 0;
     for (const StoreMember& store : view_->stores) {
         const bool skips_sync = is_idle && !leaving && !runsFor(store.member.address);
         if (store.alive && !skips_sync) syncTo(store.member.address);
@@ -64,25 +64,26 @@
 inline void FakeEdge::syncTo(const NodeAddress& store) {
     EdgeSync message{name_, zone_, address_, incarnation_, view_->epoch, leaving, {}, 0};
     message.next_within_ms =
-        (play_.options.far_edges ? kHeartbeatsWhileIdle * kEdgeHeartbeat : kEdgeHeartbeat).count();
+        (stores_.options.far_edges ? kHeartbeatsWhileIdle * kEdgeHeartbeat : kEdgeHeartbeat).count();
     for (const auto& [name, attempt] : running_) message.running.push_back(attempt);
     process_->transport->call(store, envelope(MessageKind::edge_sync, message), Millis(500),
                               [](CallResult) {});
 }
 
-inline void FakeEdge::submit(MessageContent content, std::uint32_t max_failures, bool poison, bool hopeless) {
+inline void FakeEdge::submit(MessageContent content, std::uint32_t max_failures, bool always_fails,
+                             bool always_rejected) {
     const std::size_t hash = std::hash<std::string>()(content.order_key);
-    const auto partitions = static_cast<PartitionId>(play_.options.partitions);
+    const auto partitions = static_cast<PartitionId>(stores_.options.partitions);
     const PartitionId partition = content.ordered
                                       ? static_cast<PartitionId>(hash % partitions)
-                                      : static_cast<PartitionId>(play_.world.chance() * partitions);
-    Ledger::Message& message = play_.ledger.messages[content.id];
+                                      : static_cast<PartitionId>(stores_.world.chance() * partitions);
+    Ledger::Message& message = stores_.ledger.messages[content.id];
     message.content = content;
     message.partition = partition;
-    message.sent = play_.world.now();
+    message.sent = stores_.world.now();
     message.max_failures = max_failures;
-    message.poison = poison;
-    message.hopeless = hopeless;
+    message.always_fails = always_fails;
+    message.always_rejected = always_rejected;
     const auto owner = ownerOf(partition);
     if (!owner) return;
     AcceptMessageRequest request;
@@ -102,8 +103,8 @@
                                   const auto reply = decode<AcceptMessageReply>(result.reply.body);
                                   last_status = reply->status;
                                   if (reply->status == AcceptStatus::stored) {
-                                      play_.ledger.messages[content.id].accepted = play_.world.now();
-                                      if (play_.on_accepted) play_.on_accepted(partition);
+                                      stores_.ledger.messages[content.id].accepted = stores_.world.now();
+                                      if (stores_.on_accepted) stores_.on_accepted(partition);
                                   }
                                   if (!reply->granted) return;
                                   Grant grant;
@@ -136,40 +137,40 @@
 inline void FakeEdge::run(const Grant& grant) {
     running_[{grant.content.id, grant.epoch, grant.attempt}] = {grant.partition, grant.content.id,
                                                                 grant.attempt, grant.epoch, false};
-    Ledger::Message& message = play_.ledger.messages[grant.content.id];
+    Ledger::Message& message = stores_.ledger.messages[grant.content.id];
     if (grant.content.body != message.content.body)
-        play_.ledger.faults.push_back("body of " + grant.content.id);
+        stores_.ledger.faults.push_back("body of " + grant.content.id);
     if (down_services.contains(grant.content.service)) {
         later(Millis(5), [this, grant] { finish(grant, RunOutcome::not_run, {}, true); });
         return;
     }
-    play_.ledger.arrivals[grant.content.service].push_back(play_.world.now());
-    if (play_.on_run) play_.on_run(grant);
+    stores_.ledger.arrivals[grant.content.service].push_back(stores_.world.now());
+    if (stores_.on_run) stores_.on_run(grant);
     ++message.runs;
     if (message.success_read) ++message.runs_after_read_success;
-    if (message.end_read) message.late_runs.push_back(play_.world.now());
+    if (message.end_read) message.late_runs.push_back(stores_.world.now());
     if (message.content.ordered) {
-        for (const auto& [id, other] : play_.ledger.messages) {
+        for (const auto& [id, other] : stores_.ledger.messages) {
             const bool same_line = other.content.order_key == message.content.order_key;
             if (!same_line || id == grant.content.id || !other.accepted || other.ended) continue;
             if (*other.accepted < message.sent) {
-                play_.ledger.faults.push_back("order: " + grant.content.id + " began before the end of " +
-                                              id);
+                stores_.ledger.faults.push_back("order: " + grant.content.id + " began before the end of " +
+                                                id);
             }
         }
     }
-    const auto span = run_time + Millis(static_cast<std::int64_t>(play_.world.chance() * 60));
+    const auto span = run_time + Millis(static_cast<std::int64_t>(stores_.world.chance() * 60));
     later(span, [this, grant] {
-        Ledger::Message& run = play_.ledger.messages[grant.content.id];
-        const bool lost = play_.world.chance() < play_.options.lost_answers;
-        const SteadyTime now = play_.world.now();
-        if (run.hopeless) {
+        Ledger::Message& run = stores_.ledger.messages[grant.content.id];
+        const bool lost = stores_.world.chance() < stores_.options.lost_answers;
+        const SteadyTime now = stores_.world.now();
+        if (run.always_rejected) {
             run.rejected = true;
             if (!run.ended) run.ended = now;
             if (!lost) run.end_read = true;
             return finish(grant, lost ? RunOutcome::unknown : RunOutcome::rejected, {});
         }
-        if (run.poison || play_.world.chance() < play_.options.failures) {
+        if (run.always_fails || stores_.world.chance() < stores_.options.failures) {
             if (lost) return finish(grant, RunOutcome::unknown, {});
             if (++run.failures >= run.max_failures && !run.ended) run.ended = now;
             return finish(grant, RunOutcome::failed, {});
@@ -185,14 +186,14 @@
 inline void FakeEdge::runCallback(const Grant& grant) {
     running_[{grant.content.id, grant.epoch, grant.attempt}] = {grant.partition, grant.content.id,
                                                                 grant.attempt, grant.epoch, true};
-    Ledger::Message& message = play_.ledger.messages[grant.content.id];
+    Ledger::Message& message = stores_.ledger.messages[grant.content.id];
     if (grant.phase == Phase::completed && !message.stamps.contains(grant.stamp)) {
-        play_.ledger.faults.push_back("call-back of " + grant.content.id + " without a stamp");
+        stores_.ledger.faults.push_back("call-back of " + grant.content.id + " without a stamp");
     }
     later(Millis(20), [this, grant] {
-        if (play_.world.chance() < play_.options.failures)
+        if (stores_.world.chance() < stores_.options.failures)
             return finish(grant, RunOutcome::callback_failed, {});
-        ++play_.ledger.messages[grant.content.id].callbacks_taken;
+        ++stores_.ledger.messages[grant.content.id].callbacks_taken;
         finish(grant, RunOutcome::callback_taken, {});
     });
 }
@@ -207,7 +208,7 @@
     result.stamp = stamp;
     result.destination_down = down;
     report(result, 0);
-    if (play_.options.duplicate_reports) report(result, 0);
+    if (stores_.options.duplicate_reports) report(result, 0);
 }
 
 inline void FakeEdge::report(RunResult result, int tries) {
@@ -241,7 +242,7 @@
                                       }
                                       done = true;
                                   });
-        play_.world.runUntil([&done] { return done; }, Millis(400));
+        stores_.world.runUntil([&done] { return done; }, Millis(400));
     }
     return found;
 }
--- a/tests/cluster/store_zone_loss_test.cpp
+++ b/tests/cluster/store_zone_loss_test.cpp
@@ -1,12 +1,12 @@
 // All stores of a zone lose their disks at once where `faultTolerance.zones` says so: nothing acknowledged is
 // lost, though the zone holds more machines than may be lost anywhere.
-// AMBERSWITCH_STORE_SEEDS sets the number of seeds of each play.
+// AMBERSWITCH_STORE_SEEDS sets the number of seeds of each simulation.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
 #include <string>
 
-#include "tests/cluster/store_plays.hpp"
+#include "tests/cluster/store_simulation.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -15,45 +15,45 @@
 
 constexpr Millis kAway{600};
 
-void wipeZone(LeaderPlay& play, const std::string& zone) {
-    for (auto& machine : play.stores.machines) {
-        if (machine->zone == zone) play.stores.wipe(*machine);
+void wipeZone(LeaderSimulation& simulation, const std::string& zone) {
+    for (auto& machine : simulation.stores.machines) {
+        if (machine->zone == zone) simulation.stores.wipe(*machine);
     }
 }
 
-void startAll(LeaderPlay& play) {
-    for (auto& machine : play.stores.machines) {
-        if (!machine->process) play.stores.start(*machine);
+void startAll(LeaderSimulation& simulation) {
+    for (auto& machine : simulation.stores.machines) {
+        if (!machine->process) simulation.stores.start(*machine);
     }
 }
 
 }  // namespace
 
 TEST_CASE("all disks of one zone are lost at once") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         CAPTURE(seed);
-        LeaderPlay play(seed, 6, 1, 1);
-        play.traffic(60);
-        play.trafficFor(Millis(500) + play.drawSpan(Millis(1500)));
-        wipeZone(play, "zone-" + std::to_string(seed % 3));
-        play.trafficFor(kAway);
-        startAll(play);
-        play.trafficFor(Millis(4500));
-        play.checkEnd();
+        LeaderSimulation simulation(seed, 6, 1, 1);
+        simulation.traffic(60);
+        simulation.trafficFor(Millis(500) + simulation.drawSpan(Millis(1500)));
+        wipeZone(simulation, "zone-" + std::to_string(seed % 3));
+        simulation.trafficFor(kAway);
+        startAll(simulation);
+        simulation.trafficFor(Millis(4500));
+        simulation.checkEnd();
     }
 }
 
 TEST_CASE("all disks of one zone are lost, and all other machines lose power at the same moment") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         CAPTURE(seed);
-        LeaderPlay play(seed, 6, 1, 1);
-        play.traffic(60);
-        play.trafficFor(Millis(500) + play.drawSpan(Millis(1500)));
-        wipeZone(play, "zone-" + std::to_string(seed % 3));
-        for (auto& machine : play.stores.machines) play.stores.cutPower(*machine);
-        play.run(kAway);
-        startAll(play);
-        play.trafficFor(Millis(4500));
-        play.checkEnd();
+        LeaderSimulation simulation(seed, 6, 1, 1);
+        simulation.traffic(60);
+        simulation.trafficFor(Millis(500) + simulation.drawSpan(Millis(1500)));
+        wipeZone(simulation, "zone-" + std::to_string(seed % 3));
+        for (auto& machine : simulation.stores.machines) simulation.stores.cutPower(*machine);
+        simulation.run(kAway);
+        startAll(simulation);
+        simulation.trafficFor(Millis(4500));
+        simulation.checkEnd();
     }
 }
