--- a/src/cluster/storage/peering.cpp
+++ b/src/cluster/storage/peering.cpp
@@ -31,7 +31,7 @@
         listing[record.content.id] = {record.phase, record.failures, record.callback_done, true};
     }
     for (const RecordUpdate& state : reply.states) {
-        // A pending state is listed only for a content that this replica holds.
+        // A store lists a pending state only if it holds the content.
         listing[state.id] = {state.phase, state.failures, state.callback_done, state.phase == Phase::pending};
     }
     for (const MessageId& id : reply.dead_letters) listing[id].content = true;
@@ -55,7 +55,8 @@
         }
     }
     const std::size_t needed = counted > tolerated_ ? counted - tolerated_ : 1;
-    // Copies never stand only in zones, or regions, that may all be lost at once.
+    // Copies are never all in zones or regions that may be lost at once. So if the zones without a valid
+    // answer may be lost together, a valid replica elsewhere has everything.
     return valid >= needed || (valid > 0 && spread_rule_.mayAllBeLost(lacking));
 }
 
--- a/src/cluster/storage/peering_driver.cpp
+++ b/src/cluster/storage/peering_driver.cpp
@@ -13,14 +13,16 @@
 constexpr Millis kFailedDiskPullRetry{1000};
 constexpr Millis kCopyRetry{200};
 constexpr Millis kDoneTimeout{1000};
-// Live stores that have not answered are waited for this long though enough others have.
+// How long after its start a round waits for the remaining live stores though a quorum has answered.
 constexpr Millis kLiveStoreWait{300};
-// A previous owner that is still there is waited for this long: what it doesn't tell would run again.
+// How long after its start a round waits for a previous owner that can still answer: attempts that it does
+// not report would run a second time.
 constexpr Millis kHandOverWait{1500};
 constexpr int kMaxPullsFromReachable = 16;
 constexpr int kMaxPullsFromUnreachable = 8;
 
-// The store has synced what peering_done changes; its disk may fail instead.
+// Whether the store has made the effect of peering_done durable. It refuses if its disk fails or it has
+// promised a newer epoch.
 bool isAcknowledged(const CallResult& result) {
     if (result.verdict != Verdict::answered) return false;
     const auto answer = decode<Acknowledgement>(result.reply.body);
@@ -97,7 +99,7 @@
 bool PeeringDriver::wantsPull(const Round& round, const PeerStore& store) const {
     if (round.logic.hasAnswered(store.name)) return false;
     if (!isReachable(store) && round.has_quorum) return false;
-    // A view in which its disk works again begins a new round.
+    // Its reply was received, and once its disk works again a new view starts a new round.
     if (!store.alive && round.has_quorum && round.logic.hasReported(store.name)) return false;
     const auto pull = round.pulls.find(store.name);
     return pull == round.pulls.end() || (!pull->second.in_progress && pull->second.next <= clock_.now());
@@ -136,7 +138,7 @@
     if (result.verdict != Verdict::answered) return;
     auto reply = decode<PullReply>(result.reply.body);
     if (!reply) return;
-    if (!reply->promised) {  // a newer epoch is out; its view will come
+    if (!reply->promised) {  // the store has promised a newer epoch, whose view has not arrived here yet
         rounds_.erase(partition);
         return;
     }
@@ -153,7 +155,7 @@
 
 void PeeringDriver::recordReply(PartitionId partition, Round& round, const std::string& store,
                                 const PullReply& reply) {
-    // An answer that is not whole tells no running attempts; the rest is asked for at the usual pace.
+    // A partial reply lists no running attempts; the rest is pulled at the usual retry interval.
     const bool first = !round.logic.hasReported(store);
     if (first) round.running.insert(round.running.end(), reply.running.begin(), reply.running.end());
     if (reply.in_doubt) {
@@ -250,7 +252,7 @@
         round->copy_failed = true;
     }
     if (round->copies_in_progress > 0 || round->copy_failed) return;
-    // What changed meanwhile is sent as usual to those that hold the content.
+    // Changes made meanwhile reach the holders of the content through Replicator::scheduleStateUpdate().
     onCopiesMade(partition, *round);
 }
 
@@ -286,7 +288,7 @@
                             Round* const told = findRound(partition, id);
                             if (told == nullptr) return;
                             if (isAcknowledged(result)) return finishIfAllConfirmed(partition, *told, name);
-                            told->notified_done.erase(name);  // the next tick tries again
+                            told->notified_done.erase(name);  // retried by the next tick
                         });
     }
 }
--- a/src/cluster/storage/peering_driver.hpp
+++ b/src/cluster/storage/peering_driver.hpp
@@ -1,5 +1,6 @@
-// Runs the peering of the partitions that this store owns in the present view: asks the other stores, merges
-// what they hold, has the missing copies made, and tells the replicas when they are valid.
+// Runs the peering of the partitions that this store owns in the current view: pulls the records of the other
+// stores, merges them into the local replica, sends missing copies, and informs the replicas when they are
+// valid.
 #pragma once
 
 #include <functional>
@@ -20,33 +21,34 @@
 class PeeringDriver {
 public:
     struct Hooks {
-        // Enough have answered: the partition may become active. Runs once per start().
+        // A quorum has answered: the partition may become active. Runs once per start(). `running`: the
+        // attempts that the previous owner had granted.
         std::function<void(PartitionId, const std::vector<RunningAttempt>& running)> on_quorum;
-        // Something new was learned of these messages after on_quorum.
+        // A reply that came after on_quorum may have changed these messages.
         std::function<void(PartitionId, const std::vector<MessageId>& touched)> on_merged;
-        // The store has the content of the message.
+        // The store holds the content of the message.
         std::function<void(PartitionId, const MessageId&, const std::string& store)> on_holder;
-        // The accept of the message is under way; others take care of its copies.
+        // Returns whether the accept of the message is in progress; the acceptor then makes its copies.
         std::function<bool(PartitionId, const MessageId&)> is_storing;
-        // Everything live stands on enough disks of the view.
+        // All live messages of the partition are on enough disks of the view with this epoch.
         std::function<void(PartitionId, Epoch)> on_done;
     };
 
     PeeringDriver(Scheduler& scheduler, Transport& transport, Replica& replica, Replicator& replicator,
                   const Placement& placement, const StoreClock& clock, Hooks hooks);
 
-    // Begins a round in the present view; an earlier one of the partition is dropped.
+    // Starts a round in the current view; an earlier round of the partition is discarded.
     void start(PartitionId partition, std::vector<PeerStore> others);
     void cancel(PartitionId partition) { rounds_.erase(partition); }
-    // Retries what failed. Call every 100 ms or so.
+    // Retries failed pulls, copies and notifications. Call about every 100 ms.
     void tick();
 
-    // The other stores that are known to hold the content of the message.
+    // Returns the other stores that are known to hold the content of the message.
     std::vector<std::string> holders(PartitionId partition, const MessageId& id) const;
     bool running(PartitionId partition) const { return rounds_.contains(partition); }
-    // Partitions of which copies are still to be made.
+    // Returns the number of partitions whose copies are not all made yet.
     std::size_t unfinished() const;
-    // Copies that were found missing and are not made yet.
+    // Returns the number of copies that were found missing and are not made yet.
     std::size_t copiesInProgress() const;
 
 private:
@@ -57,7 +59,7 @@
     struct Round {
         explicit Round(PeeringRound round) : logic(std::move(round)) {}
 
-        std::uint64_t id = 0;  // tells answers to an earlier round apart
+        std::uint64_t id = 0;  // identifies the round, so that answers to an earlier one are ignored
         Epoch epoch = 0;
         PeeringRound logic;
         SteadyTime started;
@@ -70,15 +72,17 @@
         SteadyTime next_copies;
         std::vector<RunningAttempt> running;
         std::map<std::string, Pull> pulls;
-        std::set<std::string> notified_done;   // peering_done is under way or taken
-        std::set<std::string> confirmed_done;  // taken
+        std::set<std::string> notified_done;   // peering_done was sent and has not failed
+        std::set<std::string> confirmed_done;  // peering_done was acknowledged
     };
 
     Round* findRound(PartitionId partition, std::uint64_t id);
-    // Until this store's own promise is durable; its disk may fail meanwhile.
+    // Syncs this store's own promise. tick() calls it again until the promise is durable, since the disk may
+    // fail meanwhile.
     void syncOwnPromise(PartitionId partition, Round& round);
     void startPulls();
-    // Such a store is asked first and often.
+    // Whether an answer can be expected soon. Such stores are retried more often and have a larger limit of
+    // concurrent pulls.
     static bool isReachable(const PeerStore& store);
     bool wantsPull(const Round& round, const PeerStore& store) const;
     void pull(PartitionId partition, Round& round, const PeerStore& store);
@@ -92,10 +96,11 @@
     void onCopy(PartitionId partition, std::uint64_t id, const MissingCopy& copy, const RecordUpdate& state,
                 ReplicateOutcome outcome);
     void onCopiesMade(PartitionId partition, Round& round);
-    // Replicas may be called valid once the copies are made.
+    // Whether the replicas may be marked valid once the copies are made.
     static bool canBeDone(const Round& round);
     void notifyDone(PartitionId partition, Round& round);
-    // Forgets a round of which nothing more can come.
+    // Removes the round once its copies are made and every live store has answered and confirmed
+    // peering_done.
     void finishIfAllConfirmed(PartitionId partition, Round& round, const std::string& store);
 
     Scheduler& scheduler_;
--- a/src/cluster/storage/placement.cpp
+++ b/src/cluster/storage/placement.cpp
@@ -62,8 +62,8 @@
     return names;
 }
 
-// Brings the stores to the front that hold the copies: near ones, and where zones or regions are lacking for
-// as many copies as are left, the nearest that add one.
+// Moves the stores that are to hold the copies to the front. The nearest store is taken, unless every
+// remaining copy is needed to reach a further zone or region: then the nearest store that adds one.
 void Placement::moveSpreadFirst(std::vector<std::string>& names) const {
     Zones zones{zone_};
     auto place = names.begin();
--- a/src/cluster/storage/placement.hpp
+++ b/src/cluster/storage/placement.hpp
@@ -1,5 +1,6 @@
-// One store's view of the others: addresses, who is alive, and the order in which they hold copies of a
-// partition: near ones first, each group in the rendezvous order of the partition.
+// Placement of copies as seen from one store: the addresses and liveness of the other stores, and the order
+// in which they are chosen to hold copies of a partition. Near stores come first; stores at the same distance
+// are sorted by their rendezvous weight for the partition.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +15,12 @@
 
 namespace amberswitch::cluster::storage {
 
-// The weight of a store for a partition; the highest weight comes first.
+// Returns the rendezvous hash of a store and a partition; the store with the highest weight comes first.
 std::uint64_t rendezvousWeight(const std::string& store, PartitionId partition);
 
 class Placement {
 public:
-    // `zone`: where the store stands.
+    // `self` and `zone`: the name and the zone of this store.
     Placement(std::string self, std::string zone, Topology topology, Tolerance tolerance = {})
         : self_(std::move(self)),
           zone_(std::move(zone)),
@@ -30,25 +31,27 @@
     const StoreView* view() const { return view_.get(); }
     const std::string& self() const { return self_; }
     Epoch epoch() const { return view_ ? view_->epoch : 0; }
-    // How many stores beside the owner hold each message: as many as may be lost at once.
+    // The number of stores that may be lost at once (f). As many stores besides the owner hold each message.
     std::uint32_t tolerated() const { return view_ ? view_->tolerated : 0; }
     const std::string& zone() const { return zone_; }
     const SpreadRule& spreadRule() const { return spread_rule_; }
-    // Copies here and at these stores stand in zones and regions enough.
+    // Whether copies on this store and on `holders` satisfy the spread rule.
     bool isSpread(const std::set<std::string>& holders) const;
-    // Copies here and at all others that keep copies would.
+    // Whether copies on this store and on all others that keep copies would satisfy the spread rule.
+    // Requires a view unless the rule is trivial.
     bool canSpread() const;
-    // Null if the view does not name the store.
+    // Returns null if the view does not list the store.
     const StoreMember* member(const std::string& name) const;
     bool alive(const std::string& name) const;
-    // Alive and not retiring: what stands there counts as a copy.
+    // Whether the store is alive and not retiring, so that its copies count toward the redundancy.
     bool keepsCopies(const std::string& name) const;
-    // The other live stores: those that are not leaving or retiring first, then the nearer ones, then by
-    // weight for the partition. Where copies must be spread, the first ones are spread.
+    // Returns the other live stores, sorted by: not leaving or retiring before leaving or retiring; nearer
+    // before farther; higher weight for the partition before lower. If the spread rule is not trivial, the
+    // first stores of the list are chosen so that they satisfy it.
     std::vector<std::string> liveOrder(PartitionId partition) const;
-    // Those of them that keep copies.
+    // Returns the stores of liveOrder() that keep copies.
     std::vector<std::string> replicaOrder(PartitionId partition) const;
-    // How many other stores keep copies.
+    // Returns the number of other stores that keep copies.
     std::size_t otherCopyStoreCount() const;
 
 private:
--- a/src/cluster/storage/replica.cpp
+++ b/src/cluster/storage/replica.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kContentPrefix = "c/";
 constexpr std::string_view kStatePrefix = "s/";
 constexpr std::string_view kPromisePrefix = "p/";
-constexpr std::string_view kIncompletePrefix = "d/";  // partitions in which something could not be read
+constexpr std::string_view kIncompletePrefix = "d/";  // partitions with unreadable data
 constexpr std::string_view kCompleteKey = "meta/complete_from";
 constexpr std::string_view kJoinedKey = "meta/joined";
 constexpr std::int64_t kMillisPerSecond = 1000;
@@ -70,7 +70,7 @@
         disk_.forEach(
             [&](std::string_view key, const std::string& value) { loadRecord(key, value, states); });
     } catch (const StorageError& error) {
-        LOG(ERROR) << error.what();
+        LOG(ERROR) << "cannot read all records, reading them one by one: " << error.what();
         loadReadable(states);
     }
     for (const std::string& value : states) loadState(value);
@@ -90,13 +90,13 @@
         try {
             if (const auto value = disk_.read(key)) loadRecord(key, *value, states);
         } catch (const StorageError& error) {
-            LOG(ERROR) << key << ": " << error.what();
+            LOG(ERROR) << "cannot read record " << key << ": " << error.what();
         }
     });
     markAllIncomplete();
 }
 
-// What is missing may belong to any partition, and may be the record of a promise or of the own joining.
+// The missing data may belong to any partition, and may be a promise or the record of this store's joining.
 void Replica::markAllIncomplete() {
     complete_from_.reset();
     remove(std::string(kCompleteKey));
@@ -153,7 +153,8 @@
     const auto found = partitions_.find(partition);
     if (found != partitions_.end() && found->second.incomplete) return false;
     std::optional<Epoch> from = complete_from_;
-    if (found != partitions_.end()) from = std::max(from, found->second.valid_from);  // nothing is least
+    if (found != partitions_.end())
+        from = std::max(from, found->second.valid_from);  // an empty optional compares as the smallest
     return from && *from >= joined_;
 }
 
@@ -216,7 +217,7 @@
         return true;
     }
     if (!is_over && !known->content_on_disk) {
-        // The state came before the content; it is kept.
+        // The state arrived before the content and must be preserved.
         const RecordUpdate state = this->state(record.partition, id, *known);
         copyRecord(*known, record, keep_body);
         known->keep_until_wall_ms = std::max(known->keep_until_wall_ms, state.keep_until_wall_ms);
@@ -293,7 +294,7 @@
     return result;
 }
 
-// Behind its last state in the log, so that no loss of power takes the state alone.
+// The removal follows the last state in the log, so that a power failure cannot lose the state alone.
 void Replica::removeContent(PartitionId partition, const MessageId& id, StoredMessage& message) {
     if (!std::exchange(message.content_on_disk, false)) return;
     remove(messageKey(kContentPrefix, partition, id));
@@ -361,10 +362,10 @@
         const auto bytes = disk_.read(messageKey(kContentPrefix, partition, id));
         if (bytes) record = decode<MessageRecord>(*bytes);
     } catch (const StorageError& error) {
-        LOG(ERROR) << id << ": " << error.what();
+        LOG(ERROR) << "cannot read the content of message " << id << ": " << error.what();
     }
     if (record) return std::move(record->content);
-    message->content_on_disk = false;  // another replica's copy takes its place
+    message->content_on_disk = false;  // to be replaced by another replica's copy
     markIncomplete(partition);
     return std::nullopt;
 }
@@ -403,7 +404,7 @@
             message.accepted_wall_ms};
 }
 
-// Its end must outlive every copy that may still be pending elsewhere.
+// The end must be kept longer than any copy that may still be pending on another store.
 void Replica::extendRetention(StoredMessage& message, const MessageRecord& record) {
     message.accepted_wall_ms =
         std::max(message.accepted_wall_ms, std::min(record.accepted_wall_ms, clock_.wallMillis()));
@@ -453,7 +454,7 @@
     StoredMessage* const message = find(partition, id);
     if (message == nullptr) return;
     releaseContent(*message);
-    // The content first: a state alone can never be run again.
+    // The content is removed first: a state without content can never be run again.
     remove(messageKey(kContentPrefix, partition, id));
     remove(messageKey(kStatePrefix, partition, id));
     partitions_[partition].messages.erase(MessageId(id));
--- a/src/cluster/storage/replicator.cpp
+++ b/src/cluster/storage/replicator.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxStatesPerFlush = 2000;
 constexpr Millis kFlushTimeout{1000};
 
-// The store has staged what was sent, and its disk works.
+// Whether the store has staged the batch and its disk works.
 bool isAcknowledged(const CallResult& result, std::size_t requests) {
     if (result.verdict != Verdict::answered) return false;
     const auto reply = decode<ReplicateBatchReply>(result.reply.body);
--- a/src/cluster/storage/replicator.hpp
+++ b/src/cluster/storage/replicator.hpp
@@ -1,5 +1,5 @@
-// Sends records and states to other stores. What becomes due in one turn of the loop, or while earlier calls
-// to the same store are under way, travels together.
+// Sends records and states to other stores. Entries that are queued in one iteration of the event loop, or
+// while earlier calls to the same store are in progress, are sent in one batch.
 #pragma once
 
 #include <deque>
@@ -20,10 +20,11 @@
 
 constexpr Millis kReplicateTimeout{300};
 
+// The result of sending one record or state.
 enum class ReplicateOutcome : std::uint8_t {
     stored,
-    fenced,  // the replica has promised a newer epoch: this store does not own the partition any more
-    failed,  // no answer, or the replica's disk failed; it may have the record all the same
+    fenced,  // the replica has promised a newer epoch: this store no longer owns the partition
+    failed,  // no answer, or the replica's disk failed; the record may have been stored nevertheless
 };
 
 class Replicator {
@@ -33,25 +34,26 @@
     Replicator(Scheduler& scheduler, Transport& transport, const Placement& placement, const Replica& replica,
                const StoreClock& clock);
 
-    // Both answer once the other store has synced. `done` never runs inside the call.
+    // Both run `done` once the other store has synced the entry or the call has failed. `done` never runs
+    // inside the call.
     void sendRecord(const std::string& store, Epoch epoch, std::shared_ptr<const MessageRecord> record,
                     Done done);
     void sendState(const std::string& store, Epoch epoch, RecordUpdate state, Done done);
-    // Sends the state that the message will have at the next flush(), repeatedly until the store has it;
-    // nobody waits for it. Given up when the store is not alive any more.
+    // Schedules the message's state for the next flush(), which sends the state of that moment. It is sent
+    // again until the store has taken it, and dropped once the store is not alive. Nothing waits for it.
     void scheduleStateUpdate(const std::string& store, PartitionId partition, const MessageId& id);
-    // Sends all noted states. Call every 100 ms or so.
+    // Sends the scheduled states. Call about every 100 ms.
     void flush();
-    // Whether the last call to this store went through.
+    // Whether the last call with records or awaited states to this store succeeded; true before the first.
     bool healthy(const std::string& store) const;
-    // Nothing is waiting or under way.
+    // Whether nothing is queued or in progress.
     bool idle() const;
 
 private:
     struct Entry {
         PartitionId partition = 0;
         Epoch epoch = 0;
-        std::shared_ptr<const MessageRecord> record;  // null: a state
+        std::shared_ptr<const MessageRecord> record;  // null: the entry is a state
         RecordUpdate state;
         Done done;
     };
--- a/src/cluster/storage/spread_rule.hpp
+++ b/src/cluster/storage/spread_rule.hpp
@@ -1,4 +1,5 @@
-// Where copies must stand so that what `faultTolerance` names may be lost at once.
+// The rule by which copies are spread over zones and regions so that the losses that the setting
+// `faultTolerance` allows never take all of them.
 #pragma once
 
 #include <set>
@@ -18,16 +19,16 @@
     SpreadRule(Tolerance tolerance, Topology topology)
         : tolerance_(tolerance), topology_(std::move(topology)) {}
 
-    // No loss of zones or regions is to be borne: copies may stand anywhere.
+    // True if no loss of zones or regions is tolerated, so that copies may be placed anywhere.
     bool isTrivial() const { return tolerance_.zones == 0 && tolerance_.regions == 0; }
-    // With copies in these zones, no tolerated loss of zones or of regions takes all of them.
+    // Whether copies in these zones survive every tolerated loss of zones or of regions.
     bool isSpread(const Zones& zones) const;
-    // Whether all machines of these zones may be lost at once. False for none.
+    // Whether losing all machines of these zones at once is a tolerated loss. False for an empty set.
     bool mayAllBeLost(const Zones& zones) const;
-    // How many further zones, or regions, copies in these zones lack.
+    // Returns the number of further zones, or regions, that copies in these zones need to satisfy the rule.
     std::size_t missingZones(const Zones& zones) const;
     std::size_t missingRegions(const Zones& zones) const;
-    // A copy in `zone` would add a zone, or a region, to these.
+    // Whether `zone` lies in a region that none of `zones` lies in.
     bool addsRegion(const Zones& zones, const std::string& zone) const;
 
 private:
--- a/src/cluster/storage/store_node.cpp
+++ b/src/cluster/storage/store_node.cpp
@@ -16,11 +16,12 @@
 constexpr Millis kTick{100};
 constexpr std::uint64_t kTicksPerTrim = 10;
 constexpr std::size_t kMaxTrimmedPerPass = 2000;
-// A previous owner that may still run uses its share of the ceilings for this long after it was replaced.
+// For this long after being replaced, a previous owner that may still run uses its share of the services'
+// ceilings.
 constexpr Millis kPreviousOwnerGrace{3000};
 constexpr Millis kFormerGrantsRetention{10000};
 constexpr Millis kExitMargin{1500};
-// Answers to the last pulls leave the machine within this time.
+// Replies to the last pulls have left the machine within this time.
 constexpr Millis kLastAnswerDelay{200};
 
 }  // namespace
@@ -106,7 +107,7 @@
     replica_.onReadFailure([this] { onReadFailure(); });
     replica_.load();
     if (!disk_.healthy()) onDiskHealth(false);
-    LOG(INFO) << "store " << settings_.name << ": " << replica_.size() << " messages on disk";
+    LOG(INFO) << "store " << settings_.name << ": loaded " << replica_.size() << " messages from disk";
     transport_.serve(
         [this](const Envelope& request, Responder respond) { serve(request, std::move(respond)); });
     tick_timer_ = scheduler_.after(kTick, [this] { tick(); });
@@ -114,17 +115,20 @@
 
 void StoreNode::Impl::onDiskHealth(bool healthy) {
     if (healthy) {
-        LOG(WARNING) << "store " << settings_.name << ": the disk works again";
+        LOG(WARNING) << "store " << settings_.name << ": disk has recovered";
     } else {
-        LOG(ERROR) << "store " << settings_.name << ": the disk fails; no copy and no owner until it works";
+        LOG(ERROR) << "store " << settings_.name
+                   << ": disk failed; the store counts as neither copy nor owner until it recovers";
     }
     notifyUsable();
 }
 
-// A view without this store and another one with it make the owners look for copies that are missing.
+// While the store reports itself as not usable, a view lists it as away; the later view in which it is back
+// makes the owners look for missing copies.
 void StoreNode::Impl::onReadFailure() {
     if (std::exchange(has_unreadable_data_, true)) return;
-    LOG(ERROR) << "store " << settings_.name << ": not all can be read; no copy until the owners have peered";
+    LOG(ERROR) << "store " << settings_.name
+               << ": unreadable data on disk; its copies are not valid until the owners have peered again";
     notifyUsable();
 }
 
@@ -153,7 +157,8 @@
     if (grants_.ready.size() > 0) granter_.schedule();
     if (++ticks_ % kTicksPerTrim == 0) {
         replica_.trim(kMaxTrimmedPerPass);
-        // Nobody waits for ends and counts, yet a loss of power must not undo those of long ago.
+        // No caller waits for ends and counts to be durable; the sync limits how many a power failure can
+        // undo.
         if (replica_.takeUnsyncedStates()) replica_.sync([](bool) {});
     }
     std::erase_if(former_grants_, [this](const auto& entry) { return entry.second.until < clock_.now(); });
@@ -190,7 +195,7 @@
         }
     }
     updateLimiterShares();
-    LOG(INFO) << "store " << settings_.name << ": view " << view_->epoch << ", " << owned_.size()
+    LOG(INFO) << "store " << settings_.name << ": applied view " << view_->epoch << ", owns " << owned_.size()
               << " partitions";
 }
 
@@ -220,8 +225,8 @@
 
 void StoreNode::Impl::takeOver(PartitionId partition, const StoreView& view, Epoch previous_epoch) {
     OwnedPartition* owned = findOwned(owned_, partition);
-    // Nobody else can have accepted anything between two consecutive views in both of which this store is
-    // owner.
+    // If this store is the owner in two consecutive views, no other store can have accepted messages in
+    // between.
     const bool continuous = owned != nullptr && owned->active && owned->epoch == previous_epoch &&
                             view.epoch == previous_epoch + 1;
     if (owned != nullptr && !continuous) relinquish(partition);
@@ -275,7 +280,7 @@
 void StoreNode::Impl::onQuorum(PartitionId partition, const std::vector<RunningAttempt>& running) {
     OwnedPartition* const owned = findOwned(owned_, partition);
     if (owned == nullptr) return;
-    if (owned->active) {  // it was the owner all along
+    if (owned->active) {  // this store was the owner in the previous view too
         owned->queue.forEach([this](QueueItem& item) { addKnownHolders(item); });
         recoverAll(*owned);
         return;
@@ -286,7 +291,7 @@
     std::vector<RunningAttempt> granted = running;
     const auto former = former_grants_.find(partition);
     if (former != former_grants_.end()) {
-        // Told to no successor, so that nobody else can have counted anything.
+        // Grants that were sent to no successor: no other store can have counted results of these attempts.
         const auto& own = former->second;
         if (own.successor == 0) granted.insert(granted.end(), own.running.begin(), own.running.end());
         former_grants_.erase(former);
@@ -314,7 +319,7 @@
         addKnownHolders(*item);
         if (item->state != storage::ItemState::storing) outcomes_.applyConfiguration(*owned, *item);
     }
-    outcomes_.endExpired(*owned);  // before any of it is granted
+    outcomes_.endExpired(*owned);  // before any of the messages is granted
     granter_.schedule();
 }
 
--- a/src/cluster/storage/store_node.hpp
+++ b/src/cluster/storage/store_node.hpp
@@ -1,6 +1,6 @@
-// The message plane of a store machine: keeps its partitions, replicates, orders and grants. Everything
-// arrives through the transport that it serves; views and configurations are handed in by whoever talks to
-// the core.
+// The message side of a store process: keeps its partitions, replicates messages, orders them and grants
+// their runs to edges. Requests arrive through the transport; the caller passes in the views and
+// configurations that it receives from the core.
 #pragma once
 
 #include <cstdint>
@@ -17,30 +17,33 @@
 
 namespace amberswitch::cluster {
 
+// Not thread-safe: all calls and callbacks run on the scheduler's thread.
 class StoreNode {
 public:
-    // All references must outlive the node; scheduler and transport must not call back after its end.
+    // The scheduler, transport and disk must outlive the node; scheduler and transport must not call back
+    // after its destruction.
     StoreNode(Scheduler& scheduler, Transport& transport, RecordStore& disk, const NodeSettings& settings,
               Incarnation incarnation);
     ~StoreNode();
 
-    // Reads the disk and begins to serve. Call once.
+    // Loads the disk and begins to serve requests. Call once.
     void start();
-    // Older views and configurations than the present ones are ignored.
+    // Views and configurations that are not newer than the current ones are ignored.
     void onView(std::shared_ptr<const StoreView> view);
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
-    // How many edges hold a lease.
     void onServers(std::shared_ptr<const ServerList> servers);
+    // `edges`: the number of edges that hold a lease.
     void setEdgeCount(std::uint32_t edges);
-    // Runs when this store's disk begins to fail, or works again, and in start() where it fails already.
-    // While it is not usable, the core must be told: the store is no copy and no owner.
+    // Sets the listener for changes of usability: the disk fails or works again, or data is unreadable. It
+    // also runs in start() if the store is not usable then. The caller must report this to the core, since a
+    // store that is not usable counts neither as a copy nor as an owner.
     void onUsable(std::function<void(bool usable)> listener);
-    // A planned end: accepts and grants nothing more; `done` runs once the successors have everything, or
-    // shortly before the grace period is over.
+    // Starts a planned shutdown: nothing is accepted or granted any more. `done` runs once the successors
+    // have everything, or shortly before the grace period ends.
     void leave(std::function<void()> done);
-    // For the operator's status page.
+    // Returns the status page for operators as JSON.
     std::string statusJson() const;
-    // Its figures, one a line.
+    // Returns the metrics, one per line.
     std::string metricsText() const;
 
 private:
--- a/src/cluster/storage/store_node_impl.hpp
+++ b/src/cluster/storage/store_node_impl.hpp
@@ -1,4 +1,5 @@
-// The parts of a StoreNode and how they are tied together. Only store_node*.cpp include this.
+// The implementation of StoreNode: its components and how they are connected. Included only by
+// store_node*.cpp.
 #pragma once
 
 #include <map>
@@ -28,28 +29,31 @@
 
 private:
     using OwnedPartition = storage::OwnedPartition;
-    // What a partition's last owner here had granted, for its successor.
+    // The grants that were outstanding when this process last gave up a partition, kept for the successor.
     struct FormerGrants {
         std::vector<RunningAttempt> running;
         SteadyTime until;
-        Epoch successor = 0;  // the epoch of the first pull, to which alone it is told
+        Epoch successor = 0;  // the epoch of the first pull; only that owner receives `running`
     };
 
     // --- Ownership (store_node.cpp) ---
     void tick();
-    // This store, whichever process of it, and this very process.
+    // Whether the view names this store as the owner, in any of its processes.
     bool isNamedAsOwner(const StoreView& view, PartitionId partition) const;
+    // Whether the view names this process as the owner.
     bool isOwnerInView(const StoreView& view, PartitionId partition) const;
     void takeOver(PartitionId partition, const StoreView& view, Epoch previous_epoch);
     void relinquish(PartitionId partition);
-    // A replica has promised a newer epoch: there is another owner, whose view has not come yet.
+    // Gives up the partition after a replica has promised a newer epoch: another store owns it, and the view
+    // that says so has not arrived yet.
     void onFenced(PartitionId partition);
     void recordOwnJoin();
     std::vector<storage::PeerStore> peersOf(PartitionId partition) const;
     void onQuorum(PartitionId partition, const std::vector<RunningAttempt>& running);
     void onMerged(PartitionId partition, const std::vector<MessageId>& touched);
     void recoverAll(OwnedPartition& owned);
-    // Whether an older message is a stray shows by the newer ones of its line.
+    // Sorts messages newest first: whether an older message is a stray is decided from the newer messages of
+    // its line.
     std::vector<MessageId> sortedNewestFirst(PartitionId partition, std::vector<MessageId> ids);
     void addKnownHolders(storage::QueueItem& item);
     void updateLimiterShares();
@@ -91,7 +95,7 @@
     storage::Placement placement_;
     storage::Replica replica_;
     storage::Replicator replicator_;
-    storage::GrantTable grants_;  // before owned_: the queues refer to it
+    storage::GrantTable grants_;  // before owned_, whose queues refer to it
     storage::OwnedPartitions owned_;
     storage::QueueItemFactory items_;
     storage::OutcomeHandler outcomes_;
@@ -103,14 +107,14 @@
     std::shared_ptr<const StoreView> view_;
     std::shared_ptr<const Configuration> configuration_;
     std::map<PartitionId, FormerGrants> former_grants_;
-    std::map<PartitionId, Epoch> last_peering_done_;  // the newest view whose replicas are known to be valid
+    std::map<PartitionId, Epoch> last_peering_done_;  // the newest epoch whose replicas are known to be valid
     TimerHandle tick_timer_;
     TimerHandle grace_timer_;
     std::function<void()> on_left_;
     std::function<void(bool)> on_usable_;
-    std::set<PartitionId> awaiting_pull_;  // while leaving: partitions no successor has asked for yet
+    std::set<PartitionId> awaiting_pull_;  // while leaving: partitions that no successor has pulled yet
     bool has_unreadable_data_ =
-        false;  // something could not be read, and no view has shown this store as away since
+        false;  // data could not be read, and no view has listed this store as away since
     bool leaving_ = false;
     bool successors_done_ = false;
     std::uint64_t ticks_ = 0;
--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -23,7 +23,7 @@
                                void (Impl::*handle)(Message, const Responder&)) {
     auto message = decode<Message>(request.body);
     if (!message) {
-        LOG_EVERY_N(WARNING, 1000) << "a request of kind " << request.kind << " cannot be read";
+        LOG_EVERY_N(WARNING, 1000) << "cannot decode a request of kind " << request.kind;
         return;
     }
     (this->*handle)(std::move(*message), respond);
@@ -52,7 +52,7 @@
         case MessageKind::peering_progress:
             return dispatch<PeeringProgressRequest>(request, respond, &Impl::onPeeringProgress);
         default:
-            LOG_EVERY_N(WARNING, 1000) << "a store does not take requests of kind " << request.kind;
+            LOG_EVERY_N(WARNING, 1000) << "unexpected request of kind " << request.kind << " to a store";
     }
 }
 
@@ -65,7 +65,7 @@
 void StoreNode::Impl::onReport(RunReport report, const Responder& respond) {
     edge_watch_.recordContact(report.edge, report.edge_address);
     RunReportReply answer;
-    // Nobody is told that something has ended on the account of a disk that fails: the edge asks again.
+    // While the disk fails, no result is acknowledged as taken; the edge reports it again.
     const bool takes = disk_.healthy();
     for (const RunResult& result : report.results)
         answer.taken.push_back(takes && outcomes_.apply(report.edge, result));
@@ -95,7 +95,7 @@
 
 void StoreNode::Impl::onBodyQuery(StateQuery query, const Responder& respond) {
     StateReply answer = stateOf(query);
-    // Only what waits or is dead has bytes to give.
+    // Only pending messages and dead letters have a body to return.
     if (answer.phase == Phase::completed) answer.status = QueryStatus::not_found;
     if (answer.status != QueryStatus::found) return respond(reply(answer));
     if (auto content = replica_.content(query.partition, query.id)) {
@@ -108,7 +108,7 @@
 void StoreNode::Impl::fetchBody(const StateQuery& query, StateReply answer, std::vector<std::string> stores,
                                 const Responder& respond) {
     if (stores.empty()) {
-        // It waits or is dead, so its bytes are on a disk that did not answer now.
+        // The message is pending or a dead letter, so its body is on a disk that did not answer.
         answer.status = QueryStatus::not_owner;
         return respond(reply(answer));
     }
@@ -154,7 +154,8 @@
     ReplicateReply answer;
     answer.promised = replica_.promised(request.partition);
     answer.stored = answer.promised <= request.epoch;
-    // States are facts, whoever tells them; records are taken only from the owner that was promised to.
+    // States are merged whichever store sends them; records are taken only from the owner that holds the
+    // promise.
     OwnedPartition* const owned = findActive(owned_, request.partition);
     for (RecordUpdate& update : request.updates) {
         update.partition = request.partition;
@@ -175,7 +176,7 @@
     if (replica_.promised(request.partition) > request.epoch) return respond(reply(PullReply{}));
     const OwnedPartition* const owned = findOwned(owned_, request.partition);
     if (owned != nullptr && owned->epoch < request.epoch) relinquish(request.partition);
-    // Also where the disk fails: kept in memory, it holds as long as this process lasts.
+    // Done even if the disk fails: the promise in memory is valid as long as this process runs.
     replica_.promise(request.partition, request.epoch);
     replica_.recordJoin(request.joined_epoch, request.joined_incarnation == incarnation_);
     replica_.forgetOutdated(request.partition);
@@ -211,7 +212,8 @@
             if (dead) answer.dead_letters.push_back(id);
         }
     }
-    answer.valid = answer.valid && replica_.isValid(request.partition);  // a record may have been unreadable
+    answer.valid =
+        answer.valid && replica_.isValid(request.partition);  // reading the records may have failed
     const auto former = former_grants_.find(request.partition);
     if (former == former_grants_.end()) return answer;
     if (former->second.successor == 0) former->second.successor = request.epoch;
@@ -232,7 +234,7 @@
     const auto partitions = static_cast<PartitionId>(answer.done ? view_->partitions.size() : 0);
     for (PartitionId partition = 0; partition < partitions; ++partition) {
         if (!isNamedAsOwner(*view_, partition)) continue;
-        // The view names an earlier process of this store: nobody has peered the partition in it.
+        // The view names an earlier process of this store, so the partition has not been peered in this view.
         if (!isOwnerInView(*view_, partition)) answer.done = false;
         const auto newest = last_peering_done_.find(partition);
         if (newest == last_peering_done_.end() || newest->second < request.epoch) answer.done = false;
--- a/tests/cluster/store_chaos_test.cpp
+++ b/tests/cluster/store_chaos_test.cpp
@@ -1,4 +1,5 @@
-// Whole stores under random trouble, over many seeds: nothing accepted is lost, order holds, states are true.
+// Whole stores under random faults, over many seeds: no accepted message is lost, the order is kept, and the
+// states match the servers' answers.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -11,7 +12,7 @@
 
 enum class Fault { kill, power, wipe, cut, leave };
 
-// Troubles come one after the other, each ending before the next begins, so that never more than `tolerated`
+// Injects faults one after the other; each ends before the next begins, so that never more than `tolerated`
 // machines are away at once.
 class FaultInjector {
 public:
@@ -122,5 +123,5 @@
 TEST_CASE("five stores that tolerate two losses") {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) runScenario(seed, faultyOptions(5, 2), 2);
     for (const std::uint64_t seed : {1343, 1389, 1472, 1704, 1739})
-        runScenario(seed, faultyOptions(5, 2), 2);  // strays
+        runScenario(seed, faultyOptions(5, 2), 2);  // seeds with stray messages
 }
--- a/tests/cluster/store_durability_test.cpp
+++ b/tests/cluster/store_durability_test.cpp
@@ -1,4 +1,4 @@
-// What a store has answered stands on disks, and what it has learned does soon after.
+// What a store has acknowledged is on disks, and the ends that it learns of are soon afterwards.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -18,7 +18,7 @@
     return {};
 }
 
-// Speaks to stores without any of the habits of an edge.
+// Sends single requests to stores, without the retries and syncs of an edge.
 class Client {
 public:
     explicit Client(StoreWorld& stores)
@@ -60,8 +60,7 @@
     MemoryTransport transport_;
 };
 
-// A partition whose next owner, once the present one is gone, is not the store that has the copies; that
-// store.
+// A partition whose next owner, once the current one is gone, is not the store that holds the copies.
 struct TestPlacement {
     PartitionId partition = 0;
     StoreMachine* holder = nullptr;
@@ -104,7 +103,8 @@
         client.accept(placement.partition, content);
         stores.wipe(stores.ownerOf(placement.partition));
         stores.changeView();
-        // Asked again until the new owner has answered; its power and the other disk go at that moment.
+        // Repeats the accept until the new owner acknowledges it; then the new owner loses power and the
+        // other store its disk.
         std::optional<AcceptStatus> status;
         for (int tries = 0; tries < 200 && status != AcceptStatus::stored; ++tries) {
             status = client.accept(placement.partition, content);
@@ -163,7 +163,7 @@
     stores.wipe(stores.ownerOf(placement.partition));
     stores.changeView();
     stores.world.run(Millis(1000));
-    // The store that told all of them goes as well, once copies have been made.
+    // The store that sent all the messages is lost too, once copies have been made.
     REQUIRE(stores.awaitPeered(Millis(3000)));
     stores.wipe(*placement.holder);
     stores.changeView();
@@ -172,7 +172,7 @@
     CHECK_MESSAGE(stores.ledger.faults.empty(), stores.faultText());
 }
 
-TEST_CASE("a body that no store hands out now is not said to be nowhere") {
+TEST_CASE("a body that no store can return now is not reported as not found") {
     StoreWorld stores(1, quietOptions());
     Client client(stores);
     StoreMachine& owner = stores.ownerOf(0);
--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -1,5 +1,6 @@
-// The leader of store_world.hpp as the program has it: it hears the stores' leases, asks owners whether they
-// have peered, and makes each view by nextView(). A new reign knows nothing but the view.
+// A leader for store_world.hpp that follows the rules of the program: it observes the stores' leases, asks
+// the owners whether they have peered, and makes each view with nextView(). A newly elected leader knows only
+// the view.
 #pragma once
 
 #include <functional>
@@ -25,7 +26,7 @@
     StoreLeader(const StoreLeader&) = delete;
     StoreLeader& operator=(const StoreLeader&) = delete;
 
-    // A leader whose reign begins now.
+    // Elects a new leader, which knows only the view.
     void elect() {
         deposed_ = false;
         listening_since_ = last_change_ = stores_.world.now();
@@ -33,12 +34,12 @@
         away_since_.clear();
         resetProgress();
     }
-    // Nobody leads until elect().
+    // Removes the leader; there is none until elect().
     void depose() { deposed_ = true; }
     RetireVerdict orderRetirement(const std::string& name) { return cluster::orderRetirement(view_, name); }
     RetirePhase retirePhase(const std::string& name) const { return cluster::retirePhase(view_, name); }
     const StoreView& view() const { return view_; }
-    // Runs for each view at the moment when it can first be read.
+    // Runs for each view as soon as it is published.
     std::function<void(const StoreView&)> on_view = [](const StoreView&) {};
 
 private:
@@ -127,7 +128,7 @@
         informed_.clear();
         on_view(view_);
     }
-    // A process that has just started, or could not be reached, gets the present view as well.
+    // Sends the current view also to processes that have just started or could not be reached before.
     void sendViewToProcesses() {
         for (const auto& machine : stores_.machines) {
             if (reaches(*machine) && informed_.insert(machine->incarnation).second)
--- a/tests/cluster/store_members_test.cpp
+++ b/tests/cluster/store_members_test.cpp
@@ -1,4 +1,5 @@
-// Stores that join, are retired, are lost for good and come back, during traffic and with a loss right after.
+// Stores join, are retired, are lost permanently and come back, during traffic and with another loss right
+// afterwards.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -56,7 +57,7 @@
     }
 }
 
-// Each dead letter's body is still there.
+// Checks that the body of each dead letter can still be read.
 void checkBodies(StoreWorld& stores) {
     for (const auto& [id, message] : stores.ledger.messages) {
         if (!message.accepted) continue;
@@ -80,7 +81,7 @@
     checkBodies(stores);
 }
 
-// A machine that is gone for good, and the empty one that replaces it; the lost one leaves the view.
+// Loses a machine permanently, adds an empty one in its place, and drops the lost one from the view.
 void replace(StoreWorld& stores, StoreMachine& lost) {
     stores.wipe(lost);
     traffic(stores, 20);
@@ -120,7 +121,7 @@
     }
 }
 
-TEST_CASE("a store that is replaced twice leaves a system that bears another loss, which stays away") {
+TEST_CASE("a system in which a store was replaced twice tolerates another, permanent loss") {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         StoreWorld stores(seed, faultyOptions(3));
         traffic(stores, 60);
@@ -191,16 +192,16 @@
     }
 }
 
-TEST_CASE("a store that joins counts at once, and two losses are borne once all was peered in between") {
+TEST_CASE("a store that joins counts at once, and two losses with a peering in between are tolerated") {
     StoreWorld stores(5, faultyOptions(3));
     StoreMachine& joiner = stores.addMachine();
     stores.changeView();
     REQUIRE(stores.awaitPeered(Millis(3000)));
-    // The newcomer and two others are three of four.
+    // The new store and two others are three of four.
     stores.wipe(*stores.machines[0]);
     stores.changeView();
     REQUIRE(stores.awaitPeered(Millis(3000)));
-    // Everything stands on two of these three, without the first one, which is still in the view.
+    // Every message is on two of these three stores, not counting the first one, which is still in the view.
     stores.wipe(joiner);
     stores.start(joiner);
     stores.changeView();
@@ -212,7 +213,7 @@
     StoreMachine& joiner = stores.addMachine();
     stores.changeView();
     REQUIRE(stores.awaitPeered(Millis(3000)));
-    // Without its disk the newcomer answers, but it is the second loss of one tolerated.
+    // The new store has lost its disk: it answers, but it is the second loss where one is tolerated.
     stores.wipe(*stores.machines[0]);
     stores.wipe(joiner);
     stores.start(joiner);
@@ -228,8 +229,8 @@
         StoreWorld stores(seed, faultyOptions(4));
         traffic(stores, 100);
         StoreMachine& dropped = *stores.machines[seed % 4];
-        // Its process ends in either case: one that was only cut off may grant what it knew until the view
-        // comes.
+        // The process ends in either case: one that is only cut off may grant messages that it knows until it
+        // receives the view.
         if (seed % 2 == 0)
             stores.cutPower(dropped);
         else
@@ -238,7 +239,7 @@
         awaitPeered(stores);
         stores.drop(dropped);
         traffic(stores, 60);
-        // Long enough for all retentions to be over, and in some plays for every end to be forgotten.
+        // Long enough for all retentions to expire, and with some seeds for every end to be removed.
         stores.world.run(Millis(seed % 3 == 0 ? 300000 : 20000));
         std::map<MessageId, int> runs;
         for (const auto& [id, message] : stores.ledger.messages) {
--- a/tests/cluster/store_membership_test.cpp
+++ b/tests/cluster/store_membership_test.cpp
@@ -1,4 +1,4 @@
-// Whole stores that leave, join, miss views or have wrong clocks.
+// Tests of whole stores that leave, join, miss views or have wrong clocks.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("a planned end loses nothing and runs nothing twice") {
+TEST_CASE("a planned shutdown loses nothing and runs nothing twice") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         StoreWorld stores(seed, options());
         bool left = false;
@@ -75,7 +75,7 @@
     CHECK(stores.ledger.messages[content.id].runs == 1);
 }
 
-TEST_CASE("a planned end without any successor is over before the grace period is") {
+TEST_CASE("a planned shutdown without any successor ends before the grace period") {
     StoreWorld stores(29, options());
     stores.stop(*stores.machines[1]);
     stores.stop(*stores.machines[2]);
@@ -119,7 +119,7 @@
     }
 }
 
-TEST_CASE("five stores bear the loss of two at once") {
+TEST_CASE("five stores tolerate the loss of two at once") {
     StoreWorld stores(31, options(5, 2));
     for (int i = 0; i < 60; ++i) {
         MessageContent content =
--- a/tests/cluster/store_node_test.cpp
+++ b/tests/cluster/store_node_test.cpp
@@ -1,4 +1,4 @@
-// Whole stores: the ordinary path, failovers, ceilings and refusals.
+// Tests of whole stores: normal operation, failovers, ceilings and refusals.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -45,7 +45,7 @@
     CHECK(only(stores).runs == 1);
 }
 
-TEST_CASE("an edge that cannot run it leaves it to another one") {
+TEST_CASE("a message that its edge cannot run is granted to another edge") {
     StoreWorld stores(2, options());
     stores.edges[0]->wants_grants = false;
     stores.edges[0]->submit(stores.content("plain"), 3);
@@ -65,7 +65,7 @@
     CHECK(only(stores).runs == 1);
 }
 
-TEST_CASE("a message that always fails dies after its last try, its body can still be had") {
+TEST_CASE("a message that always fails is a dead letter after its last try, and its body can be read") {
     StoreWorld stores(4, options());
     stores.edges[0]->submit(stores.content("plain"), 3, true);
     stores.world.run(Millis(10000));
@@ -79,7 +79,7 @@
     checkClean(stores);
 }
 
-TEST_CASE("a message that can never be done dies at once, and its call-back is delivered once") {
+TEST_CASE("a rejected message is a dead letter at once, and its call-back is delivered once") {
     StoreWorld stores(5, options());
     MessageContent content = stores.content("plain");
     content.callback_url = "http://10.9.0.7:80/done";
@@ -161,7 +161,7 @@
     StoreWorld stores(9, options());
     StoreMachine& stale = stores.ownerOf(0);
     const auto old_view = stores.view;
-    stores.hidden.insert(stale.name);  // the leader and the others still reach it, only views do not
+    stores.hidden.insert(stale.name);  // the other stores and clients still reach it; only views do not
     stores.changeView();
     stores.world.run(Millis(1000));
     REQUIRE(stores.ownerOf(0).name != stale.name);
@@ -181,7 +181,7 @@
     };
     ask();
     REQUIRE(answer.has_value());
-    CHECK(answer->status == AcceptStatus::not_owner);  // it heard the pull
+    CHECK(answer->status == AcceptStatus::not_owner);  // it has received the new owner's pull
 
     stores.hidden.clear();
     stores.changeView();
@@ -191,7 +191,7 @@
     stores.hidden.insert(cut.name);
     stores.changeView();
     stores.world.run(Millis(1500));
-    stores.network.join(cut.address.ip);  // back, still without the view
+    stores.network.join(cut.address.ip);  // connected again, still without the new view
     request.content.id = "later";
     client.call(cut.address, envelope(MessageKind::accept_message, request), Millis(5000),
                 [&](const CallResult& result) { answer = decode<AcceptMessageReply>(result.reply.body); });
@@ -224,7 +224,7 @@
 TEST_CASE("a full disk refuses new messages and still takes ends") {
     StoreWorld stores(11, options());
     for (auto& machine : stores.machines) machine->platter.capacity = 60000;
-    // What has ended makes room again, so nothing ends while the disks fill up.
+    // Messages that end free room, so nothing may end while the disks fill up.
     for (auto& edge : stores.edges) edge->down_services.insert("servers");
     int refused = 0;
     for (int i = 0; i < 200; ++i) {
@@ -247,7 +247,7 @@
     checkClean(stores);
 }
 
-TEST_CASE("a message whose time is over dies, and is forgotten in the end") {
+TEST_CASE("a message whose retention expires becomes a dead letter, and is removed later") {
     StoreWorld stores(12, options());
     for (auto& edge : stores.edges) edge->down_services.insert("servers");
     stores.edges[0]->submit(stores.content("plain"), 3);
@@ -350,17 +350,17 @@
     CHECK(stores.unfinished() == 0);
 }
 
-TEST_CASE("the status page tells what the store holds") {
+TEST_CASE("the status page shows the active partitions and the view") {
     StoreWorld stores(17, options());
     const std::string status = stores.machines[0]->process->node->statusJson();
     CHECK(status.find("\"partitions_active\":") != std::string::npos);
     CHECK(status.find("\"view_epoch\":1") != std::string::npos);
 }
 
-TEST_CASE("an edge that takes nothing, or cannot be reached, is passed over") {
+TEST_CASE("an edge that takes no grants or cannot be reached is skipped") {
     StoreWorld stores(27, options());
     stores.edges[0]->wants_grants = false;
-    stores.edges[1]->leaving = true;  // its syncs have not said so yet
+    stores.edges[1]->leaving = true;  // not reported by its syncs yet
     stores.edges[2]->kill();
     for (int i = 0; i < 20; ++i) stores.edges[0]->submit(stores.content("plain"), 3);
     stores.world.run(Millis(6000));
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -1,4 +1,4 @@
-// The pure part of peering: whether enough stores have answered, and which copies are missing.
+// Tests of PeeringRound: whether a quorum of stores has answered, and which copies are missing.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("n - f replicas that lack nothing are needed, the owner's own counts if it lacks nothing") {
+TEST_CASE("n - f valid replicas are needed, and the owner's own counts if it is valid") {
     PeeringRound round(1, peers({"b", "c"}), 1, true);
     CHECK(!round.hasQuorum());
     round.onReply("b", answer(false));
@@ -195,7 +195,7 @@
     CHECK(PeeringRound(1, {}, 0, true).hasQuorum());
 }
 
-TEST_CASE("live messages get their content copied until they stand on enough live disks") {
+TEST_CASE("contents of live messages are copied until they are on enough live disks") {
     Owner owner;
     owner.addMessage("two copies");
     owner.addMessage("mine only");
@@ -225,7 +225,7 @@
     CHECK(!alone.canReachRedundancy());
 }
 
-TEST_CASE("a store that is behind gets the state, and an end stands on enough stores") {
+TEST_CASE("a store with an outdated state is sent the new one, and an end is copied to enough stores") {
     Owner owner;
     owner.addMessage("a");
     owner.complete("a");
--- a/tests/cluster/store_replica_test.cpp
+++ b/tests/cluster/store_replica_test.cpp
@@ -1,4 +1,4 @@
-// What a machine keeps: merging, restarts, promises, trimming.
+// Tests of Replica: merging, restarts, promises, trimming.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -86,7 +86,7 @@
     CHECK(b->stamp == "stamp");
 }
 
-TEST_CASE("the content goes once all is over, and stays while a dead letter may be asked for") {
+TEST_CASE("the content is removed once it is not needed, and kept for dead letters") {
     Machine machine;
     for (const char* id : {"done", "dead"}) REQUIRE(machine.replica->store(machine.record(id), true));
     MessageRecord with_callback = machine.record("owes");
@@ -102,7 +102,7 @@
     CHECK(machine.disk->read("c/3/dead").has_value());
     machine.replica->merge(machine.end("owes", Phase::completed, "stamp"));
     CHECK_FALSE(machine.disk->read("c/3/owes").has_value());
-    // A late copy brings nothing back, and the end is kept past the retention that it tells.
+    // A late copy does not restore the content, and the end is kept beyond the retention of that copy.
     const std::int64_t kept = machine.replica->find(3, "done")->keep_until_wall_ms;
     REQUIRE(machine.replica->store(machine.record("done"), true));
     CHECK_FALSE(machine.disk->read("c/3/done").has_value());
@@ -143,7 +143,7 @@
     CHECK(machine.replica->find(3, "a")->failures == 2);
 }
 
-TEST_CASE("an end that comes before its content stands") {
+TEST_CASE("an end that arrives before its content is kept") {
     Machine machine;
     CHECK(machine.replica->merge(machine.end("a", Phase::completed, "stamp")).ended);
     REQUIRE(machine.replica->store(machine.record("a"), true));
@@ -153,7 +153,7 @@
     CHECK(machine.replica->residentBodyBytes() == 0);
 }
 
-TEST_CASE("promises and validity outlive the process") {
+TEST_CASE("promises and validity survive a restart") {
     Machine machine;
     CHECK(machine.replica->isValid(3));
     machine.replica->promise(3, 7);
@@ -165,7 +165,7 @@
     CHECK(machine.replica->promised(3) == 7);
 }
 
-TEST_CASE("a machine that lost its disk is not valid until it is told so by the newest owner") {
+TEST_CASE("a replica that lost its disk is not valid until the newest owner marks it valid") {
     Machine machine(false);
     CHECK(!machine.replica->isValid(3));
     machine.replica->promise(3, 7);
@@ -187,7 +187,7 @@
     CHECK(machine.replica->store(machine.record("a"), true));
 }
 
-TEST_CASE("messages are forgotten when nobody may ask any more, not earlier") {
+TEST_CASE("messages are removed once they cannot be queried any more, not earlier") {
     Machine machine;
     machine.replica->store(machine.record("ended"), false);
     machine.replica->store(machine.record("waits"), false);
@@ -206,7 +206,7 @@
     CHECK(machine.replica->size() == 0);
 }
 
-TEST_CASE("trimming is done in parts") {
+TEST_CASE("trimming is limited per call") {
     Machine machine;
     for (int i = 0; i < 50; ++i) machine.replica->store(machine.record("m" + std::to_string(i)), false);
     machine.world.run(Millis(300000));
--- a/tests/cluster/store_replicator_test.cpp
+++ b/tests/cluster/store_replicator_test.cpp
@@ -1,4 +1,4 @@
-// Calls to other stores: what travels together, and what becomes of it.
+// Tests of Replicator: batching of calls to other stores, and the outcomes of the calls.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-// One store that sends, and another one that answers as it is told to.
+// One store that sends, and another one that answers with the configured promise.
 struct ReplicatorFixture {
     World world{1};
     Network network{world};
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("what is sent in one turn of the loop travels in one call") {
+TEST_CASE("entries queued in one iteration of the event loop are sent in one call") {
     ReplicatorFixture fixture;
     for (int i = 0; i < 20; ++i) fixture.send("m" + std::to_string(i));
     fixture.world.run(Millis(50));
@@ -70,7 +70,7 @@
     CHECK(fixture.replicator.idle());
 }
 
-TEST_CASE("at most two calls are under way; what comes meanwhile waits for their answers") {
+TEST_CASE("at most two calls are in progress; later entries wait for their answers") {
     ReplicatorFixture fixture;
     fixture.network.delay = Millis(20);
     for (int turn = 0; turn < 10; ++turn) {
@@ -130,7 +130,7 @@
     CHECK(outcomes == std::vector<ReplicateOutcome>{ReplicateOutcome::failed});
 }
 
-TEST_CASE("noted states go out with the next flush, as they are then, until the store has them") {
+TEST_CASE("scheduled states are sent as they are at the next flush, until the store has them") {
     ReplicatorFixture fixture;
     MessageRecord record;
     record.content.id = "a";
--- a/tests/cluster/store_second_loss_test.cpp
+++ b/tests/cluster/store_second_loss_test.cpp
@@ -1,5 +1,5 @@
-// A second store is lost one catch-up time after the first was repaired, replaced or back, with the leader of
-// the program's own rules: nothing acknowledged is lost, and what counts is served again.
+// A second store is lost one catch-up time after the first was repaired, was replaced or came back, with a
+// leader that follows the rules of the program: no acknowledged message is lost, and all of them end.
 // AMBERSWITCH_STORE_SEEDS sets the number of seeds of each simulation.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -13,13 +13,14 @@
 
 constexpr Millis kCatchUp{4500};
 
-// The machine is back, or its successor runs, `back_after` later; the second loss comes one catch-up time
-// after that. Traffic goes on all the time.
+// Runs traffic for the catch-up time, which begins when the first machine is back or its successor runs. The
+// second loss follows.
 void runUntilSecondLoss(LeaderSimulation& simulation) {
     simulation.trafficFor(kCatchUp);
 }
 
-// The leader is deposed at any moment of the catch-up time, and another one is elected within `most`.
+// The same, but the leader is deposed at a random moment of the catch-up time and another one is elected
+// within `most`.
 void runUntilSecondLossWithNewLeader(LeaderSimulation& simulation, Millis most) {
     const Millis before = simulation.drawSpan(kCatchUp - most);
     const Millis without = Millis(300) + simulation.drawSpan(most - Millis(300));
@@ -30,7 +31,7 @@
     simulation.trafficFor(kCatchUp - before - without);
 }
 
-// The second loss: a disk, or a disk together with the power of all machines.
+// Causes the second loss: one disk, or one disk together with a power failure of all machines.
 void loseSecond(LeaderSimulation& simulation, StoreMachine& second) {
     const bool all_power = simulation.world().chance() < 0.4;
     simulation.stores.wipe(second);
--- a/tests/cluster/store_simulation.hpp
+++ b/tests/cluster/store_simulation.hpp
@@ -1,5 +1,5 @@
-// What the seeded plays of stores under a leader share: traffic, troubles of one machine, and the checks at
-// the end and on the disks.
+// Seeded simulations of stores under a leader: traffic, faults of single machines, and the checks at the end.
+// Shared by several tests.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -13,7 +13,8 @@
 
 namespace amberswitch::cluster::simulation {
 
-// Of each play; AMBERSWITCH_STORE_SEEDS overrides it.
+// Returns the number of seeds of each simulation; the environment variable AMBERSWITCH_STORE_SEEDS overrides
+// `usual`.
 inline std::uint64_t seedCount(std::uint64_t usual = 40) {
     const char* const chosen = std::getenv("AMBERSWITCH_STORE_SEEDS");
     return chosen == nullptr ? usual : std::strtoull(chosen, nullptr, 10);
@@ -63,7 +64,7 @@
             run(drawSpan(Millis(30)));
         }
     }
-    // Some ten messages a second.
+    // Submits about ten messages per second.
     void trafficFor(Millis span) {
         const SteadyTime end = world().now() + span;
         while (world().now() < end) {
@@ -86,7 +87,7 @@
             if (!differs || &machine != &other) return machine;
         }
     }
-    // Gone for good, with its disk.
+    // Removes the machine and its disk permanently.
     void remove(StoreMachine& machine) {
         stores.wipe(machine);
         gone = &machine;
@@ -99,7 +100,7 @@
         stores.network.join(machine.address.ip);
         stores.hidden.erase(machine.name);
     }
-    // Its process stands still; what reaches it waits.
+    // Suspends the process for `span`; what arrives meanwhile is delivered afterwards.
     void freeze(StoreMachine& machine, Millis span) {
         const SteadyTime until = world().now() + span;
         machine.process->scheduler->freeze(until);
@@ -109,7 +110,8 @@
     }
 
     // --- Checks ---
-    // Of what ended so long ago that the owner knows it and has told the copies.
+    // Returns the runs of the messages that ended more than 3000 ms ago, so that the owner knows the end and
+    // has sent it to the replicas.
     std::map<MessageId, int> runsOfEnded() {
         std::map<MessageId, int> runs;
         for (const auto& [id, message] : stores.ledger.messages) {
@@ -123,7 +125,8 @@
             CHECK(stores.ledger.messages.at(id).runs == runs);
         }
     }
-    // Every accepted message has ended; its state is true, and so is the body of a dead letter.
+    // Checks that every accepted message has ended, that its state matches the servers' answers, and that the
+    // bodies of dead letters are intact.
     void checkEnd() {
         run(Millis(25'000));
         INFO("seed " << seed);
--- a/tests/cluster/store_world.hpp
+++ b/tests/cluster/store_world.hpp
@@ -1,5 +1,5 @@
-// Whole stores on the simulated network, with disks that lose what was not synced, edges that run messages at
-// pretended servers, and a pretended leader. For the tests of StoreNode.
+// Simulation for the tests of StoreNode: whole stores on the simulated network, with disks that lose data
+// that was not synced, edges that run messages on simulated servers, and a simulated leader.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace amberswitch::cluster::simulation {
 
-// A machine for data: its platter, and the process if one runs.
+// A store machine: its platter, which outlives the processes, and the process if one runs.
 struct StoreMachine {
     std::string name;
     std::string zone;
@@ -24,7 +24,7 @@
     Platter platter;
     Incarnation incarnation = 0;
     bool disk_empty = false;
-    bool disk_failed = false;  // as the leader knows
+    bool disk_failed = false;  // as known to the leader
     bool leaving = false;
     bool retiring = false;
     bool dropped = false;  // not in the view
@@ -40,30 +40,30 @@
     std::unique_ptr<Process> process;
 };
 
-// Everything that servers and clients have seen, for checking rules at the end.
+// What the servers and the clients have observed; the tests check their rules against it.
 struct Ledger {
     struct Message {
         MessageContent content;
         PartitionId partition = 0;
         SteadyTime sent{};
-        std::optional<SteadyTime> accepted;  // when the 202 was given
-        std::optional<SteadyTime> ended;     // a server stated it: success, 422 or enough 500
+        std::optional<SteadyTime> accepted;  // when the client received its 202
+        std::optional<SteadyTime> ended;  // when a server answered with success, 422 or the last allowed 500
         std::uint32_t failures = 0;
         std::uint32_t max_failures = 3;
-        std::set<std::string> stamps;  // of runs that succeeded
+        std::set<std::string> stamps;  // of the runs that succeeded
         bool rejected = false;
-        bool always_fails = false;     // always 500
-        bool always_rejected = false;  // always 422
+        bool always_fails = false;     // every run is answered with 500
+        bool always_rejected = false;  // every run is answered with 422
         int runs = 0;
         int runs_after_read_success = 0;
-        std::vector<SteadyTime> late_runs;  // that began after an edge had read the message's end
+        std::vector<SteadyTime> late_runs;  // runs that began after an edge had read the end of the message
         bool success_read = false;
         bool end_read = false;  // an edge has read a success or a 422
         int callbacks_taken = 0;
     };
     std::map<MessageId, Message> messages;
     std::map<std::string, std::vector<SteadyTime>> arrivals;  // by service
-    std::vector<std::string> faults;                          // rules that were broken
+    std::vector<std::string> faults;                          // descriptions of violated rules
 };
 
 struct WorldOptions {
@@ -76,7 +76,7 @@
     double failures = 0;      // share of runs answered with 500
     bool duplicate_reports = false;
     bool leader_sees_disks = true;
-    // Edges stand in another region: they tell a store for which they run nothing only every second time.
+    // Edges are in another region: they send only every second sync to a store for which they run nothing.
     bool far_edges = false;
 };
 
@@ -254,7 +254,7 @@
         }
         distribute(next);
     }
-    // A view that a leader of a test has made.
+    // Distributes a view made by the leader of a test.
     void publish(const StoreView& made) {
         viewed.clear();
         for (const StoreMember& store : made.stores) {
@@ -265,27 +265,27 @@
         }
         distribute(std::make_shared<StoreView>(made));
     }
-    // The process of the machine, if one runs, hears of the present view a little later.
+    // Delivers the current view to the machine's process, if one runs, after a random delay.
     void deliverView(StoreMachine& machine) {
         postDelayed(machine.process ? machine.process->scheduler.get() : nullptr,
                     [this, raw = &machine, next = view] {
                         if (!hidden.contains(raw->name)) raw->process->node->onView(next);
                     });
     }
-    // A new and empty machine, in the view from the next change on.
+    // Starts a new, empty machine, which is in the view from the next change on.
     StoreMachine& addMachine() {
         machines.push_back(makeMachine(static_cast<int>(machines.size())));
         start(*machines.back());
         rejoin(*machines.back());
         return *machines.back();
     }
-    // A machine that runs and is not in the view joins it with the next change.
+    // Lets a running machine that is not in the view join it with the next change.
     void rejoin(StoreMachine& machine) {
         machine.dropped = false;
         machine.joined_epoch = view->epoch + 1;
         machine.joined_incarnation = machine.incarnation;
     }
-    // Every owner says that it has peered all of its partitions in the present view.
+    // Asks every owner whether it has peered all of its partitions in the current view.
     bool isPeered() {
         const auto answered = std::make_shared<std::size_t>(0);
         const auto done = std::make_shared<std::size_t>(0);
@@ -315,7 +315,7 @@
         }
         return true;
     }
-    // Leaves the view as the leader would drop it; only where the view is peered.
+    // Drops the machine from the view, as the leader does; valid only if the view is peered.
     void drop(StoreMachine& machine) {
         machine.dropped = true;
         machine.retiring = false;
@@ -359,7 +359,7 @@
             std::count_if(ledger.messages.begin(), ledger.messages.end(),
                           [](const auto& entry) { return entry.second.accepted.has_value(); }));
     }
-    // The most arrivals at a service in any span of that length.
+    // Returns the maximum number of arrivals at a service within any time span of this length.
     std::size_t maxArrivalsIn(const std::string& service, Millis span) {
         const auto& times = ledger.arrivals[service];
         std::size_t most = 0;
@@ -370,7 +370,7 @@
         }
         return most;
     }
-    // Asks the owner for the state of each accepted message and compares it with what servers said.
+    // Queries the state of each accepted message and compares it with the answers of the servers.
     void checkStates() {
         for (const auto& [id, message] : ledger.messages) {
             if (!message.accepted) continue;
@@ -406,14 +406,14 @@
     std::shared_ptr<Configuration> configuration;
     std::shared_ptr<const StoreView> view;
     std::vector<std::unique_ptr<StoreMachine>> machines;
-    std::vector<StoreMachine*> viewed;  // those of the view, in its order
+    std::vector<StoreMachine*> viewed;  // the machines of the view, in the order of its stores
     std::vector<std::unique_ptr<FakeEdge>> edges;
     Ledger ledger;
-    std::set<std::string> hidden;  // machines the leader does not hear, though they run
+    std::set<std::string> hidden;  // running machines that the leader takes for silent
     Incarnation last_incarnation = 0;
     int last_message = 0;
-    std::function<void(PartitionId)> on_accepted;  // a client is told that its message is stored
-    std::function<void(const Grant&)> on_run;      // an edge begins an attempt at a server
+    std::function<void(PartitionId)> on_accepted;  // runs when a client learns that its message is stored
+    std::function<void(const Grant&)> on_run;      // runs when an edge begins an attempt on a server
 
 private:
     std::unique_ptr<StoreMachine> makeMachine(int index) {
@@ -438,7 +438,7 @@
             });
         }
     }
-    // The store tells the leader, which makes a new view.
+    // The store reports its usability to the leader, which makes a new view.
     void onUsable(StoreMachine& machine, bool usable) {
         if (!options.leader_sees_disks) return;
         world.at(world.now() + drawDelay(), [this, raw = &machine, usable, process = machine.incarnation] {
@@ -474,7 +474,7 @@
         }
         return owner;
     }
-    // A store of an earlier view as a place in the new one, -1 where it is not there any more.
+    // Returns the index in the new view of a store of an earlier one, or -1 if it is no longer listed.
     std::int32_t indexInView(const StoreView& earlier, std::int32_t place) const {
         if (place < 0) return -1;
         const std::string& name = earlier.stores[static_cast<std::size_t>(place)].member.name;
--- a/tests/cluster/store_zone_loss_test.cpp
+++ b/tests/cluster/store_zone_loss_test.cpp
@@ -1,5 +1,5 @@
-// All stores of a zone lose their disks at once where `faultTolerance.zones` says so: nothing acknowledged is
-// lost, though the zone holds more machines than may be lost anywhere.
+// All stores of a zone lose their disks at once, a loss that `faultTolerance.zones` tolerates: no
+// acknowledged message is lost, although the zone has more machines than may be lost in arbitrary places.
 // AMBERSWITCH_STORE_SEEDS sets the number of seeds of each simulation.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
