--- a/src/cluster/storage/peering_driver.cpp
+++ b/src/cluster/storage/peering_driver.cpp
@@ -85,9 +85,9 @@
 void PeeringDriver::startPulls() {
     for (auto& [partition, round] : rounds_) {
         for (const PeerStore& store : round.logic.others()) {
-            const bool room = isReachable(store) ? pulls_from_reachable_ < kMaxPullsFromReachable
-                                                 : pulls_from_unreachable_ < kMaxPullsFromUnreachable;
-            if (room && wantsPull(round, store)) pull(partition, round, store);
+            const bool has_capacity = isReachable(store) ? pulls_from_reachable_ < kMaxPullsFromReachable
+                                                         : pulls_from_unreachable_ < kMaxPullsFromUnreachable;
+            if (has_capacity && wantsPull(round, store)) pull(partition, round, store);
         }
     }
 }
@@ -285,10 +285,11 @@
         const PeeringDone message{placement_.self(), partition, round.epoch};
         transport_.call(member->member.address, envelope(MessageKind::peering_done, message), kDoneTimeout,
                         [this, partition, id = round.id, name = store.name](const CallResult& result) {
-                            Round* const told = findRound(partition, id);
-                            if (told == nullptr) return;
-                            if (isAcknowledged(result)) return finishIfAllConfirmed(partition, *told, name);
-                            told->notified_done.erase(name);  // retried by the next tick
+                            Round* const notified = findRound(partition, id);
+                            if (notified == nullptr) return;
+                            if (isAcknowledged(result))
+                                return finishIfAllConfirmed(partition, *notified, name);
+                            notified->notified_done.erase(name);  // retried by the next tick
                         });
     }
 }
--- a/src/cluster/storage/replicator.cpp
+++ b/src/cluster/storage/replicator.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kMaxCallsInProgress = 2;
 constexpr std::size_t kMaxBytesPerCall = 1u << 20;
-constexpr std::size_t kEntryOverhead = 300;
+constexpr std::size_t kEntryOverheadBytes = 300;
 constexpr std::size_t kMaxStatesPerFlush = 2000;
 constexpr Millis kFlushTimeout{1000};
 
@@ -69,7 +69,7 @@
     std::size_t bytes = 0;
     while (!outbox.waiting.empty() && bytes < kMaxBytesPerCall) {
         Entry& next = outbox.waiting.front();
-        bytes += kEntryOverhead + (next.record ? next.record->content.body.size() : 0);
+        bytes += kEntryOverheadBytes + (next.record ? next.record->content.body.size() : 0);
         entries.push_back(std::move(next));
         outbox.waiting.pop_front();
     }
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -75,7 +75,7 @@
         round.onReply("d", answer(true));
         CHECK(round.hasQuorum());
     }
-    SUBCASE("peered without it, as another replica was told") {
+    SUBCASE("peered without it, as another replica knows") {
         PeeringRound round(1, stores, 1, true, 6);
         reply.peered = 7;
         round.onReply("b", reply);
--- a/tests/cluster/store_world.hpp
+++ b/tests/cluster/store_world.hpp
@@ -66,6 +66,7 @@
     std::vector<std::string> faults;                          // descriptions of violated rules
 };
 
+// The size of the simulated system and the faults of its servers.
 struct WorldOptions {
     int stores = 3;
     std::uint32_t tolerated = 1;
@@ -82,6 +83,8 @@
 
 class StoreWorld;
 
+// An edge that submits messages to the stores, runs its grants on simulated servers and reports the results.
+// Implemented in store_world_edge.hpp.
 class FakeEdge {
 public:
     FakeEdge(StoreWorld& stores, int index);
@@ -133,6 +136,8 @@
     std::map<AttemptName, RunningAttempt> running_;
 };
 
+// The simulated machines, edges and servers with one configuration and the current view; the test acts as the
+// leader by changing the view. All randomness comes from `seed`.
 class StoreWorld {
 public:
     StoreWorld(std::uint64_t seed, WorldOptions chosen) : options(chosen), world(seed), network(world) {
