--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMostBytesPerPull = 16u << 20;
+constexpr std::size_t kMaxBytesPerPull = 16u << 20;
 constexpr Millis kBodyTimeout{500};
 
 }  // namespace
@@ -23,7 +23,7 @@
                                void (Impl::*handle)(Message, const Responder&)) {
     auto message = decode<Message>(request.body);
     if (!message) {
-        LOG_EVERY_N(WARNING, 1000) << "a request of kind " << request.kind << " cannot be read";
+        LOG_EVERY_N(WARNING, 1000) << "cannot decode a request of kind " << request.kind;
         return;
     }
     (this->*handle)(std::move(*message), respond);
@@ -52,23 +52,23 @@
         case MessageKind::peering_progress:
             return dispatch<PeeringProgressRequest>(request, respond, &Impl::onPeeringProgress);
         default:
-            LOG_EVERY_N(WARNING, 1000) << "a store does not take requests of kind " << request.kind;
+            LOG_EVERY_N(WARNING, 1000) << "unexpected request of kind " << request.kind << " to a store";
     }
 }
 
 void StoreNode::Impl::onAccept(AcceptMessageRequest request, const Responder& respond) {
     edge_watch_.recordContact(request.edge, request.edge_address);
-    accepts_.accept(std::move(request),
-                    [respond](const AcceptMessageReply& answer) { respond(reply(answer)); });
+    acceptor_.accept(std::move(request),
+                     [respond](const AcceptMessageReply& answer) { respond(reply(answer)); });
 }
 
 void StoreNode::Impl::onReport(RunReport report, const Responder& respond) {
     edge_watch_.recordContact(report.edge, report.edge_address);
     RunReportReply answer;
-    // Nobody is told that something has ended on the account of a disk that fails: the edge asks again.
+    // While the disk fails, no result is acknowledged as taken; the edge reports it again.
     const bool takes = disk_.healthy();
     for (const RunResult& result : report.results)
-        answer.accepted.push_back(takes && outcomes_.apply(report.edge, result));
+        answer.taken.push_back(takes && outcomes_.apply(report.edge, result));
     respond(reply(answer));
     granter_.schedule();
 }
@@ -95,7 +95,7 @@
 
 void StoreNode::Impl::onBodyQuery(StateQuery query, const Responder& respond) {
     StateReply answer = stateOf(query);
-    // Only what waits or is dead has bytes to give.
+    // Only pending messages and dead letters have a body to return.
     if (answer.phase == Phase::completed) answer.status = QueryStatus::not_found;
     if (answer.status != QueryStatus::found) return respond(reply(answer));
     if (auto content = replica_.content(query.partition, query.id)) {
@@ -108,7 +108,7 @@
 void StoreNode::Impl::fetchBody(const StateQuery& query, StateReply answer, std::vector<std::string> stores,
                                 const Responder& respond) {
     if (stores.empty()) {
-        // It waits or is dead, so its bytes are on a disk that did not answer now.
+        // The message is pending or a dead letter, so its body is on a disk that did not answer.
         answer.status = QueryStatus::not_owner;
         return respond(reply(answer));
     }
@@ -122,9 +122,9 @@
                             found = decode<StateReply>(result.reply.body);
                         if (!found || found->status != QueryStatus::found)
                             return fetchBody(query, answer, stores, respond);
-                        StateReply whole = answer;
-                        whole.body = std::move(found->body);
-                        respond(reply(whole));
+                        StateReply complete = answer;
+                        complete.body = std::move(found->body);
+                        respond(reply(complete));
                     });
 }
 
@@ -152,9 +152,10 @@
 
 ReplicateReply StoreNode::Impl::applyReplicate(ReplicateRequest& request, std::int64_t shift_ms) {
     ReplicateReply answer;
-    answer.promised_epoch = replica_.promised(request.partition);
-    answer.stored = answer.promised_epoch <= request.epoch;
-    // States are facts, whoever tells them; records are taken only from the owner that was promised to.
+    answer.promised = replica_.promised(request.partition);
+    answer.stored = answer.promised <= request.epoch;
+    // States are merged whichever store sends them; records are taken only from the owner that holds the
+    // promise.
     OwnedPartition* const owned = findActive(owned_, request.partition);
     for (RecordUpdate& update : request.updates) {
         update.partition = request.partition;
@@ -175,9 +176,9 @@
     if (replica_.promised(request.partition) > request.epoch) return respond(reply(PullReply{}));
     const OwnedPartition* const owned = findOwned(owned_, request.partition);
     if (owned != nullptr && owned->epoch < request.epoch) relinquish(request.partition);
-    // Also where the disk fails: kept in memory, it holds as long as this process lasts.
+    // Done even if the disk fails: the promise in memory is valid as long as this process runs.
     replica_.promise(request.partition, request.epoch);
-    replica_.joined(request.joined_epoch, request.joined_incarnation == incarnation_);
+    replica_.recordJoin(request.joined_epoch, request.joined_incarnation == incarnation_);
     replica_.forgetOutdated(request.partition);
     replica_.sync([this, request = std::move(request), respond](bool synced) {
         if (replica_.promised(request.partition) > request.epoch) return respond(reply(PullReply{}));
@@ -192,8 +193,8 @@
 PullReply StoreNode::Impl::pullReply(const PullRequest& request) {
     PullReply answer;
     answer.promised = true;
-    answer.valid = replica_.valid(request.partition);
-    answer.peered_epoch = replica_.peered(request.partition);
+    answer.valid = replica_.isValid(request.partition);
+    answer.peered = replica_.peeredEpoch(request.partition);
     answer.wall_ms = clock_.wallMillis();
     const std::unordered_set<MessageId> known(request.known.begin(), request.known.end());
     std::size_t bytes = 0;
@@ -202,8 +203,8 @@
         auto record = wanted ? replica_.record(request.partition, id) : std::nullopt;
         if (record) {
             bytes += record->content.body.size();
-            answer.complete = bytes <= kMostBytesPerPull || answer.records.empty();
-            if (!answer.complete) return answer;
+            answer.whole = bytes <= kMaxBytesPerPull || answer.records.empty();
+            if (!answer.whole) return answer;
             answer.records.push_back(std::move(*record));
         } else if (message.content_on_disk || message.phase != Phase::pending) {
             answer.states.push_back(replica_.state(request.partition, id, message));
@@ -211,7 +212,8 @@
             if (dead) answer.dead_letters.push_back(id);
         }
     }
-    answer.valid = answer.valid && replica_.valid(request.partition);  // a record may have been unreadable
+    answer.valid =
+        answer.valid && replica_.isValid(request.partition);  // reading the records may have failed
     const auto former = former_grants_.find(request.partition);
     if (former == former_grants_.end()) return answer;
     if (former->second.successor == 0) former->second.successor = request.epoch;
@@ -231,9 +233,9 @@
     answer.done = view_ != nullptr && view_->epoch == request.epoch && disk_.healthy();
     const auto partitions = static_cast<PartitionId>(answer.done ? view_->partitions.size() : 0);
     for (PartitionId partition = 0; partition < partitions; ++partition) {
-        if (!namedAsOwner(*view_, partition)) continue;
-        // The view names an earlier process of this store: nobody has peered the partition in it.
-        if (!ownsInView(*view_, partition)) answer.done = false;
+        if (!isNamedAsOwner(*view_, partition)) continue;
+        // The view names an earlier process of this store, so the partition has not been peered in this view.
+        if (!isOwnerInView(*view_, partition)) answer.done = false;
         const auto newest = last_peering_done_.find(partition);
         if (newest == last_peering_done_.end() || newest->second < request.epoch) answer.done = false;
     }
--- a/tests/cluster/store_world_edge.hpp
+++ b/tests/cluster/store_world_edge.hpp
@@ -64,7 +64,9 @@
 inline void FakeEdge::syncTo(const NodeAddress& store) {
     EdgeSync message{name_, zone_, address_, incarnation_, view_->epoch, leaving, {}, 0};
     message.next_sync_within_ms =
-        (play_.options.far_edges ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval : kEdgeHeartbeatInterval).count();
+        (play_.options.far_edges ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval
+                                 : kEdgeHeartbeatInterval)
+            .count();
     for (const auto& [name, attempt] : running_) message.running.push_back(attempt);
     process_->transport->call(store, envelope(MessageKind::edge_sync, message), Millis(500),
                               [](CallResult) {});
