--- a/src/cluster/control/chosen_values.cpp
+++ b/src/cluster/control/chosen_values.cpp
@@ -17,8 +17,8 @@
 constexpr Millis kFreshnessWindow{600};
 // A change that completes normally is announced within a few milliseconds of its acceptance.
 constexpr Millis kResolveDelay{100};
-constexpr Millis kResolveStagger{
-    60};  // multiplied by the position among the voters, to avoid colliding rounds
+// Multiplied by the position among the voters, so that their rounds usually do not collide.
+constexpr Millis kResolveStagger{60};
 constexpr Millis kResolveTimeout{1000};
 
 Decision keepValue(const std::string&) {
--- a/src/cluster/control/chosen_values.hpp
+++ b/src/cluster/control/chosen_values.hpp
@@ -94,6 +94,7 @@
     bool answeredByMajority(const Round& round) const;
     bool hasMajorityContact() const;
 
+    // True if a ballot above the known chosen one was accepted by a voter.
     bool isUnresolved(const std::string& key) const;
     void scheduleResolve(const std::string& key);
     void resolve(const std::string& key, const Ballot& seen);
--- a/src/cluster/control/leader_election.hpp
+++ b/src/cluster/control/leader_election.hpp
@@ -97,6 +97,7 @@
     void requestVotes();
     void onVote(const std::shared_ptr<VoteRound>& votes, bool granted);
     void onMajority(const VoteRound& votes);
+    // Gives back the votes granted in rounds up to `round`.
     void releaseVotes(std::uint64_t round);
     void resign();
     void requestVote(const NodeAddress& voter, Millis duration, std::uint64_t round,
--- a/src/cluster/control/register_voter.hpp
+++ b/src/cluster/control/register_voter.hpp
@@ -36,6 +36,8 @@
     RegisterVoter(RecordStore& disk, NodeAddress self, const std::vector<NodeAddress>& initial_voters,
                   bool bootstrap);
 
+    // Answer a prepare or accept request. `done` is called once the vote is durable, or at once if it is
+    // refused.
     void prepare(const PrepareRequest& request, std::function<void(PrepareReply)> done);
     void accept(const AcceptRequest& request, std::function<void(AcceptReply)> done);
 
--- a/src/cluster/control/voter_recovery.hpp
+++ b/src/cluster/control/voter_recovery.hpp
@@ -38,6 +38,7 @@
     void onRecovered(std::function<void()> listener) { on_recovered_ = std::move(listener); }
 
 private:
+    // Continues the recovery from its current state, or schedules a retry.
     void step();
     void scheduleRetry();
     void requestVoters();
--- a/src/cluster/control/voter_set_manager.cpp
+++ b/src/cluster/control/voter_set_manager.cpp
@@ -18,8 +18,8 @@
 constexpr Millis kQueryInterval{1000};
 constexpr Millis kQueryTimeout{400};
 constexpr Millis kRoundTimeout{1500};
-constexpr Millis kProcessPauseThreshold{
-    600};  // between two evaluations; longer means that this process was paused
+// A longer time between two evaluations means that this process itself was paused.
+constexpr Millis kProcessPauseThreshold{600};
 const std::array<std::string, 3> kRegisterKeys{kVotersKey, kConfigKey, kViewKey};
 
 Decision keepValue(const std::string&) {
--- a/src/cluster/control/voter_set_manager.hpp
+++ b/src/cluster/control/voter_set_manager.hpp
@@ -78,16 +78,20 @@
     void tick();
     void queryPeers();
     void trackVoters();
+    // Detects pauses of this process and, on the acting leader, calls manageVoters().
     void evaluate();
+    // Takes the next step: rewrites the registers, renews the lease, or proposes the next voter set.
     void manageVoters();
     std::vector<CoreObservation> observe() const;
     CoreObservation observeStandby(const NodeAddress& address, const CoreRecord& record) const;
     CoreObservation observeVoter(const NodeAddress& address) const;
     bool isStandby(const NodeAddress& address, const CoreRecord& record) const;
 
+    // Has the present voters accept the current value of each register again.
     void rewriteRegisters();
     void onRegisterRewritten(const std::shared_ptr<RewriteRound>& round, const std::string& key,
                              const ChangeOutcome& outcome);
+    // Proposes `next` if the machine that it adds answers a request.
     void proposeIfReachable(const VoterSet& next, const NodeAddress& added);
     void propose(const VoterSet& next);
     void onProposed(const ChangeOutcome& outcome);
--- a/tests/cluster/control_loss_world.hpp
+++ b/tests/cluster/control_loss_world.hpp
@@ -16,8 +16,8 @@
 namespace amberswitch::cluster::simulation {
 
 inline constexpr Millis kReturnGrace{4500};  // a machine counts as lost for this long after its return
-inline constexpr Millis kRedundancyRestored{
-    1500};  // from the recovery of a new machine until the next loss is tolerated
+// From the recovery of a new machine until the next loss is tolerated.
+inline constexpr Millis kRedundancyRestoreTime{1500};
 inline constexpr Millis kChangeTimeout{6000};  // for a configuration change after a tolerated loss
 inline constexpr Millis kLastingLoss{30000};   // longer than the rest of a run
 
--- a/tests/cluster/control_voters_exchange_test.cpp
+++ b/tests/cluster/control_voters_exchange_test.cpp
@@ -115,7 +115,7 @@
         old.kill();
         const SteadyTime ended = sim.world.now();
         // A machine grants no vote to a leader until 1.5 s after its start.
-        const SteadyTime redundant = std::max(ended, started + kNoVoteAfterStart) + kRedundancyRestored;
+        const SteadyTime redundant = std::max(ended, started + kNoVoteAfterStart) + kRedundancyRestoreTime;
         CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); },
                                  Millis(millisBetween(ended, redundant))));
         replaced.add(millisBetween(ended, sim.world.now()));
@@ -143,9 +143,9 @@
         REQUIRE(sim.world.runUntil(
             [&] { return LossWorld::hasRecovered(one) && LossWorld::hasRecovered(other); }, Millis(4000)));
         const SteadyTime recovered = sim.world.now();
-        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestored));
+        CHECK(sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestoreTime));
         replaced.add(millisBetween(recovered, sim.world.now()));
-        sim.runUntilTime(recovered + kRedundancyRestored);
+        sim.runUntilTime(recovered + kRedundancyRestoreTime);
         CoreMachine& victim = sim.randomRunning();
         sim.injectLoss(victim, kLosses[number / 2 % kLosses.size()]);
         sim.randomRunning(&victim).kill();
@@ -196,7 +196,7 @@
         sim.world.run(Millis(100) + sim.randomSpan(4000));
         repaired.start();
         REQUIRE(sim.world.runUntil([&] { return LossWorld::hasRecovered(repaired); }, Millis(4000)));
-        checkSurvivesLoss(sim, kRedundancyRestored, sim.world.now() + kRedundancyRestored, number / 2);
+        checkSurvivesLoss(sim, kRedundancyRestoreTime, sim.world.now() + kRedundancyRestoreTime, number / 2);
     }
 }
 
--- a/tests/cluster/control_voters_loss_test.cpp
+++ b/tests/cluster/control_voters_loss_test.cpp
@@ -23,12 +23,12 @@
         REQUIRE(sim.world.runUntil([&] { return LossWorld::hasRecovered(added); }, Millis(4000)));
         const SteadyTime recovered = sim.world.now();
         const bool redundant =
-            sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestored);
+            sim.world.runUntil([&] { return sim.runningMachinesVote(); }, kRedundancyRestoreTime);
         CHECK(redundant);
         if (redundant) replaced.add(millisBetween(recovered, sim.world.now()));
         // At the earliest allowed moment, some time later, or at the end of the grace period of the new
         // machine.
-        SteadyTime second = recovered + kRedundancyRestored;
+        SteadyTime second = recovered + kRedundancyRestoreTime;
         if (number / 8 % 3 == 1) second += sim.randomSpan(1500);
         if (number / 8 % 3 == 2) second = started + kReturnGrace;
         sim.runUntilTime(second);
--- a/tests/cluster/control_voters_play_test.cpp
+++ b/tests/cluster/control_voters_play_test.cpp
@@ -235,7 +235,7 @@
         const double draw = world.chance();
         if (draw < 0.18) return crash(any());
         if (draw < 0.30) return replace(any());
-        if (draw < 0.36) return addEmpty();
+        if (draw < 0.36) return addEmptyMachine();
         if (draw < 0.50) return network.cut(any().self().ip, any().self().ip);
         if (draw < 0.58) return network.isolate(any().self().ip);
         if (draw < 0.85) return network.healAll();
@@ -254,9 +254,9 @@
         ++replaced;
         machine.kill();
         machine.lost_for_good = true;
-        world.at(world.now() + Millis(1000), [this] { addEmpty(); });
+        world.at(world.now() + Millis(1000), [this] { addEmptyMachine(); });
     }
-    void addEmpty() {
+    void addEmptyMachine() {
         if (present().size() >= kMaxRunning) return;
         VotingMachine& added = add(present());
         added.start(false);
@@ -359,7 +359,7 @@
     REQUIRE(sim.newest == "a,");
     // Machine 2 is unreachable; a new machine takes its place.
     sim.network.isolate(sim.machines[2]->self().ip);
-    sim.addEmpty();
+    sim.addEmptyMachine();
     sim.world.run(Millis(8000));
     const VoterSet now = sim.newestVoters();
     REQUIRE(now.version == 2);
@@ -409,8 +409,8 @@
     VotersSimulation sim(8);
     sim.network.loss = 0;
     sim.machines[0]->acts_as_leader = true;
-    sim.addEmpty();
-    sim.addEmpty();
+    sim.addEmptyMachine();
+    sim.addEmptyMachine();
     sim.machines[3]->acts_as_leader = sim.machines[4]->acts_as_leader = false;
     sim.world.run(Millis(6000));
     REQUIRE(sim.newestVoters().addresses.size() == 5);
