--- a/src/cluster/control/configuration_assembler.cpp
+++ b/src/cluster/control/configuration_assembler.cpp
@@ -7,12 +7,12 @@
 
 namespace amberswitch::cluster {
 
-bool ConfigurationAssembler::beginsAnew(const ConfigurationPage& page) const {
-    return page.offset == 0 && (!isUnderWay() || page.update_digest != update_digest_);
+bool ConfigurationAssembler::startsNewUpdate(const ConfigurationPage& page) const {
+    return page.offset == 0 && (!isInProgress() || page.update_digest != update_digest_);
 }
 
 std::optional<std::string> ConfigurationAssembler::add(const ConfigurationPage& page) {
-    if (beginsAnew(page)) {
+    if (startsNewUpdate(page)) {
         update_digest_ = page.update_digest;
         bytes_.clear();
     }
@@ -20,10 +20,10 @@
     bytes_ += page.bytes;
     if (bytes_.size() < page.total_bytes) return std::nullopt;
     const std::uint64_t expected = std::exchange(update_digest_, 0);
-    std::string whole = std::exchange(bytes_, {});
-    if (XXH64(whole.data(), whole.size(), 0) == expected) return whole;
-    LOG(ERROR) << "the pages of configuration " << page.configuration.generation
-               << " do not make its update; they are asked for again";
+    std::string update_bytes = std::exchange(bytes_, {});
+    if (XXH64(update_bytes.data(), update_bytes.size(), 0) == expected) return update_bytes;
+    LOG(ERROR) << "digest mismatch in the update to configuration " << page.configuration.generation
+               << "; requesting its pages again";
     return std::nullopt;
 }
 
--- a/src/cluster/control/configuration_assembler.hpp
+++ b/src/cluster/control/configuration_assembler.hpp
@@ -1,4 +1,4 @@
-// Puts the pages of a configuration's update together, on the side of a dispatcher.
+// Assembles a configuration update from its pages, on the receiving dispatcher.
 #pragma once
 
 #include <optional>
@@ -8,16 +8,19 @@
 
 namespace amberswitch::cluster {
 
+// Holds the pages of at most one update. Pages must arrive in the order of their offsets.
 class ConfigurationAssembler {
 public:
-    // The bytes of the update once its last page has come. The first page of another update begins anew; any
-    // other page that does not follow what is here is ignored.
+    // Returns the bytes of the update once its last page has arrived. The first page of another update
+    // discards the pages received so far; any other page that does not continue them is ignored. An update
+    // whose digest does not match is logged and discarded.
     std::optional<std::string> add(const ConfigurationPage& page);
+    // The digest and received byte count of the current update; both 0 when there is none.
     UpdateProgress progress() const { return {update_digest_, bytes_.size()}; }
-    bool isUnderWay() const { return !bytes_.empty(); }
+    bool isInProgress() const { return !bytes_.empty(); }
 
 private:
-    bool beginsAnew(const ConfigurationPage& page) const;
+    bool startsNewUpdate(const ConfigurationPage& page) const;
 
     std::uint64_t update_digest_ = 0;
     std::string bytes_;
--- a/src/cluster/control/configuration_history.cpp
+++ b/src/cluster/control/configuration_history.cpp
@@ -11,10 +11,10 @@
 namespace amberswitch::cluster {
 namespace {
 
-// Some 20 ms on a link of 30 Mbit/s: leases are not held up behind a page.
+// A page of this size takes some 20 ms on a link of 30 Mbit/s, so lease messages are not delayed behind it.
 constexpr std::size_t kPageBytes = 32 * 1024;
-constexpr std::size_t kMostKept = 16;
-constexpr std::size_t kMostEntriesKept = 60'000;  // routes and services of all that are kept, but the newest
+constexpr std::size_t kMaxVersions = 16;
+constexpr std::size_t kMaxOldEntries = 60'000;  // routes and services, in all versions but the newest
 
 std::uint64_t digestOf(const std::string& bytes) {
     return XXH64(bytes.data(), bytes.size(), 0);
@@ -34,28 +34,29 @@
     try {
         configuration = std::make_shared<const Configuration>(parseConfiguration(state.body));
     } catch (const ConfigurationError& error) {
-        LOG(ERROR) << "configuration " << state.generation << " is not handed out: " << error.what();
+        LOG(ERROR) << "configuration " << state.generation
+                   << " is invalid and will not be distributed: " << error.what();
         return false;
     }
-    kept_.push_back({{state.generation, digestOf(state.body)}, std::move(configuration)});
-    forgetOldest();
+    versions_.push_back({{state.generation, digestOf(state.body)}, std::move(configuration)});
+    evictOldest();
     updates_.clear();
     return true;
 }
 
-void ConfigurationHistory::forgetOldest() {
+void ConfigurationHistory::evictOldest() {
     std::size_t older_entries = 0;
-    for (std::size_t i = 0; i + 1 < kept_.size(); ++i) older_entries += kept_[i].entries();
-    while (kept_.size() > kMostKept || older_entries > kMostEntriesKept) {
-        older_entries -= std::min(older_entries, kept_.front().entries());
-        kept_.pop_front();
+    for (std::size_t i = 0; i + 1 < versions_.size(); ++i) older_entries += versions_[i].entryCount();
+    while (versions_.size() > kMaxVersions || older_entries > kMaxOldEntries) {
+        older_entries -= std::min(older_entries, versions_.front().entryCount());
+        versions_.pop_front();
     }
 }
 
 const Configuration* ConfigurationHistory::find(const KnownConfiguration& base) const {
-    const auto found =
-        std::find_if(kept_.begin(), kept_.end(), [&](const Kept& kept) { return kept.known == base; });
-    return found == kept_.end() ? nullptr : found->configuration.get();
+    const auto found = std::find_if(versions_.begin(), versions_.end(),
+                                    [&](const Version& version) { return version.known == base; });
+    return found == versions_.end() ? nullptr : found->configuration.get();
 }
 
 const EncodedUpdate& ConfigurationHistory::updateFrom(const KnownConfiguration& base) {
@@ -65,11 +66,11 @@
     if (cached != updates_.end()) return cached->second;
     EncodedUpdate update;
     update.base_generation = base_generation;
-    update.configuration = kept_.back().known;
-    update.bytes = encodeUpdate(cluster::updateFrom(from, *kept_.back().configuration));
+    update.configuration = versions_.back().known;
+    update.bytes = encodeUpdate(cluster::updateFrom(from, *versions_.back().configuration));
     update.digest = digestOf(update.bytes);
-    LOG(INFO) << "configuration " << update.configuration.generation << " from " << base_generation << ": "
-              << update.bytes.size() << " bytes";
+    LOG(INFO) << "encoded update to configuration " << update.configuration.generation << " from "
+              << base_generation << ": " << update.bytes.size() << " bytes";
     return updates_.emplace(base_generation, std::move(update)).first->second;
 }
 
--- a/src/cluster/control/configuration_history.hpp
+++ b/src/cluster/control/configuration_history.hpp
@@ -1,5 +1,5 @@
-// The newest configurations of a core machine, and the updates that lead dispatchers from one of them to the
-// newest.
+// The most recent configurations known to a core machine, and the updates that take a dispatcher from one of
+// them to the newest.
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,47 @@
 
 namespace amberswitch::cluster {
 
-// An update as it is sent, in pages.
+// An encoded update, which is sent in pages.
 struct EncodedUpdate {
-    std::int64_t base_generation = 0;  // 0: a whole configuration
-    KnownConfiguration configuration;  // that it leads to
+    std::int64_t base_generation = 0;  // 0: a full configuration
+    KnownConfiguration configuration;  // the result of applying the update
     std::uint64_t digest = 0;          // of `bytes`
     std::string bytes;
 
-    // The page that follows what the caller has received of this update.
+    // The page that follows `progress`; the first page if `progress` belongs to another update.
     ConfigurationPage pageAfter(const UpdateProgress& progress) const;
 };
 
+// Keeps a bounded number of versions and caches the encoded updates to the newest one.
 class ConfigurationHistory {
 public:
-    // Takes only what is newer. False where it is not, or where its body can't be read, which is logged.
+    // Adds the configuration if it is newer than all others. Returns false if it is not, or if its body can't
+    // be parsed, which is logged.
     bool add(const ConfigurationState& state);
 
-    std::int64_t newestGeneration() const { return kept_.empty() ? 0 : kept_.back().known.generation; }
-    // From `base` where it is kept here, else the whole configuration. There must be a newest one.
+    // 0 if there is none.
+    std::int64_t newestGeneration() const {
+        return versions_.empty() ? 0 : versions_.back().known.generation;
+    }
+    // The update from `base` to the newest configuration, or the full configuration if `base` is not kept.
+    // Requires that a configuration has been added. The reference is valid until the next add().
     const EncodedUpdate& updateFrom(const KnownConfiguration& base);
 
 private:
-    struct Kept {
+    struct Version {
         KnownConfiguration known;
         std::shared_ptr<const Configuration> configuration;
-        std::size_t entries() const { return configuration->routes.size() + configuration->services.size(); }
+        std::size_t entryCount() const {
+            return configuration->routes.size() + configuration->services.size();
+        }
     };
 
-    void forgetOldest();
+    void evictOldest();
     const Configuration* find(const KnownConfiguration& base) const;
 
-    std::deque<Kept> kept_;                          // the newest last
-    std::map<std::int64_t, EncodedUpdate> updates_;  // to the newest, by base generation
+    std::deque<Version> versions_;  // newest last
+    // Updates to the newest configuration, by base generation.
+    std::map<std::int64_t, EncodedUpdate> updates_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/configuration_reader.cpp
+++ b/src/cluster/control/configuration_reader.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <utility>
 
-#include "cluster/control/operator_answers.hpp"
+#include "cluster/control/operator_responses.hpp"
 #include "cluster/control/register_values.hpp"
 #include "cluster/control/typed_call.hpp"
 
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Millis kRoundTimeout{1500};
-constexpr Millis kAnswerWithin{1700};
+constexpr Millis kReadTimeout{1700};
 constexpr Millis kCallTimeout{800};
 
-ReadConfigurationReply readingOf(const ChangeOutcome& outcome) {
+ReadConfigurationReply toReply(const ChangeOutcome& outcome) {
     if (!outcome.known) return {ConfigurationRead::not_known, {}};
     std::optional<ConfigurationState> state = readConfigurationState(outcome.value);
     if (!state) return {ConfigurationRead::unreadable, {}};
@@ -27,22 +27,24 @@
 
 void readConfiguration(RegisterProposer& proposer, std::function<void(ReadConfigurationReply)> done) {
     const auto keep = [](const std::string&) { return Decision::keep(); };
-    const auto told = [done = std::move(done)](const ChangeOutcome& outcome) { done(readingOf(outcome)); };
-    proposer.change(kConfigKey, keep, ChangeOptions{.timeout = kRoundTimeout}, told);
+    const auto on_outcome = [done = std::move(done)](const ChangeOutcome& outcome) {
+        done(toReply(outcome));
+    };
+    proposer.change(kConfigKey, keep, ChangeOptions{.timeout = kRoundTimeout}, on_outcome);
 }
 
-HttpResponse responseOf(ReadConfigurationReply reading) {
-    switch (reading.status) {
+HttpResponse toHttpResponse(ReadConfigurationReply reply) {
+    switch (reply.status) {
         case ConfigurationRead::newest:
-            return jsonAnswer(std::move(reading.body));
+            return jsonResponse(std::move(reply.body));
         case ConfigurationRead::none_yet:
-            return textAnswer(404, "no configuration has been taken yet");
+            return textResponse(404, "no configuration has been taken yet");
         case ConfigurationRead::unreadable:
-            return unreadableValue("configuration");
+            return unreadableValueResponse("configuration");
         case ConfigurationRead::not_known:
             break;
     }
-    return unknownOutcome();
+    return unknownOutcomeResponse();
 }
 
 ConfigurationReader::ConfigurationReader(Scheduler& scheduler, Transport& transport, std::string self,
@@ -50,24 +52,24 @@
     : scheduler_(scheduler), transport_(transport), self_(std::move(self)), core_(std::move(core)) {}
 
 void ConfigurationReader::read(HttpResponder respond) {
-    Search search{core_(), scheduler_.now() + kAnswerWithin, std::move(respond)};
-    std::reverse(search.unasked.begin(), search.unasked.end());
+    Search search{core_(), scheduler_.now() + kReadTimeout, std::move(respond)};
+    std::reverse(search.remaining.begin(), search.remaining.end());
     askNext(std::move(search));
 }
 
 void ConfigurationReader::askNext(Search search) {
-    const auto left = std::chrono::floor<Millis>(search.give_up_at - scheduler_.now());
-    if (search.unasked.empty() || left <= Millis(0)) return search.respond(unknownOutcome());
-    const NodeAddress core = search.unasked.back();
-    search.unasked.pop_back();
+    const auto time_left = std::chrono::floor<Millis>(search.deadline - scheduler_.now());
+    if (search.remaining.empty() || time_left <= Millis(0)) return search.respond(unknownOutcomeResponse());
+    const NodeAddress core = search.remaining.back();
+    search.remaining.pop_back();
     const auto shared = std::make_shared<Search>(std::move(search));
     const auto done = [this, shared](std::optional<ReadConfigurationReply> reply) {
         const bool is_known = reply && reply->status != ConfigurationRead::not_known;
-        if (is_known) return shared->respond(responseOf(std::move(*reply)));
+        if (is_known) return shared->respond(toHttpResponse(std::move(*reply)));
         askNext(std::move(*shared));
     };
     callFor<ReadConfigurationReply>(transport_, core, MessageKind::read_configuration,
-                                    ReadConfigurationRequest{self_}, std::min(left, kCallTimeout),
+                                    ReadConfigurationRequest{self_}, std::min(time_left, kCallTimeout),
                                     lifetime_.guard(done));
 }
 
--- a/src/cluster/control/configuration_reader.hpp
+++ b/src/cluster/control/configuration_reader.hpp
@@ -1,4 +1,5 @@
-// Reads of the newest configuration: by quorum at a core machine, and by way of one at any other dispatcher.
+// Linearizable reads of the newest configuration: by a quorum round on a core machine, and through a core
+// machine on any other dispatcher.
 #pragma once
 
 #include <functional>
@@ -13,26 +14,29 @@
 
 namespace amberswitch::cluster {
 
-// A round that keeps the value, so that what it tells is not older than anything acknowledged before it
-// began.
+// Runs a register round that leaves the value unchanged, so the result is at least as new as any
+// configuration acknowledged before the round began. Calls `done` once, after 1.5 s at the latest.
 void readConfiguration(RegisterProposer& proposer, std::function<void(ReadConfigurationReply)> done);
 
-// What the operator is told: the configuration, 404, 500, or 503 where nobody can be sure.
-HttpResponse responseOf(ReadConfigurationReply reading);
+// The HTTP response for the operator: the configuration; 404 if there is none yet; 500 if it is unreadable;
+// 503 if no quorum confirmed it.
+HttpResponse toHttpResponse(ReadConfigurationReply reply);
 
-// Asks core machines one after the other until one can tell; 503 where none can within 1.7 s.
+// Asks core machines one after the other until one returns a confirmed result. Responds 503 if none does
+// within 1.7 s.
 class ConfigurationReader {
 public:
-    // `core`: whom to ask, in this order.
+    // `core` returns the core machines to ask, in this order.
     ConfigurationReader(Scheduler& scheduler, Transport& transport, std::string self,
                         std::function<std::vector<NodeAddress>()> core);
 
     void read(HttpResponder respond);
 
 private:
+    // One pending read.
     struct Search {
-        std::vector<NodeAddress> unasked;  // the next one last
-        SteadyTime give_up_at;
+        std::vector<NodeAddress> remaining;  // not asked yet; the next one is last
+        SteadyTime deadline;
         HttpResponder respond;
     };
     void askNext(Search search);
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -23,7 +23,7 @@
 #include "cluster/control/register_voter.hpp"
 #include "cluster/control/server_poller.hpp"
 #include "cluster/control/server_relay.hpp"
-#include "cluster/control/store_view_keeper.hpp"
+#include "cluster/control/store_view_manager.hpp"
 #include "cluster/control/typed_call.hpp"
 #include "cluster/control/voter_recovery.hpp"
 #include "cluster/control/voter_set_manager.hpp"
@@ -32,10 +32,12 @@
 namespace {
 
 constexpr Millis kRenewTimeout{400};
-constexpr Millis kListenFirst{1000};  // before the count of edges is told
-constexpr Millis kLeaveTime{100};     // for the leave of a leader to reach the others
-// A leader whose disk fails for longer hands over: it can't change the voters, as it is none now.
-constexpr Millis kLeadsWithoutDisk{1000};
+// After the start, before shares of edges are reported: not all edges have renewed yet.
+constexpr Millis kEdgeCountDelay{1000};
+constexpr Millis kLeaveGracePeriod{100};  // lets the messages that announce the leave reach the others
+// A leader whose disk fails for longer gives up its lease: it can't vote, so it can't change the voter set
+// either.
+constexpr Millis kMaxLeadWithoutDisk{1000};
 
 }  // namespace
 
@@ -52,14 +54,15 @@
     void setSeeds(const std::vector<NodeAddress>& seeds) { settings_.seeds = seeds; }
     std::string statusJson() const;
     std::string metricsText() const {
-        return metricsAsText({settings_, voter_, chosen_, election_, keeper_, membership_, distribution_});
+        return metricsAsText(
+            {settings_, voter_, chosen_, election_, store_view_manager_, membership_, distribution_});
     }
 
 private:
     NodeAddress self() const { return settings_.internal(PortOffset::core); }
     std::vector<NodeAddress> seedAddresses() const;
     std::vector<NodeAddress> coreAddresses() const;
-    static std::uint32_t copiesTolerated(const Tolerance& tolerance);
+    static std::uint32_t toleratedFailures(const Tolerance& tolerance);
     static std::uint64_t digestOf(const std::vector<NodeAddress>& addresses);
     std::vector<NodeAddress> peers() const;
     std::optional<NodeAddress> leaderAddress() const;
@@ -75,9 +78,9 @@
     bool mayLead() const;
     RenewLeaseReply onRenew(const RenewLeaseRequest& request);
 
-    // Decodes a request, hands it to `handler` and sends what that returns.
+    // Decodes a request, passes it to `handler` and sends the result.
     template <class Request, class Handler>
-    void answerNow(const Envelope& request, const Responder& respond, Handler handler);
+    void replyTo(const Envelope& request, const Responder& respond, Handler handler);
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -85,20 +88,20 @@
     NodeSettings settings_;
     Incarnation incarnation_;
     SteadyTime started_at_;
-    std::optional<SteadyTime> disk_fails_since_;
+    std::optional<SteadyTime> disk_failed_since_;
     RegisterVoter voter_;
     RegisterProposer proposer_;
     VoterRecovery recovery_;
     ChosenValues chosen_;
     Membership membership_;
     LeaderElection election_;
-    StoreViewKeeper keeper_;
+    StoreViewManager store_view_manager_;
     VoterSetManager voter_set_manager_;
     Distribution distribution_;
     std::optional<ServerPoller> poller_;
     ServerRelay relay_;
     OperatorApi operator_api_;
-    std::set<std::string> unreadable_;  // keys whose newest value this program can't read
+    std::set<std::string> unreadable_keys_;  // keys whose newest value can't be decoded by this version
     bool leaving_ = false;
     TimerHandle renew_timer_;
     TimerHandle leave_timer_;
@@ -124,11 +127,11 @@
                  .last_leader = [this] { return acceptedLeader(); },
                  .voters_version = [this] { return voter_.voterSet().version; },
                  .may_lead = [this] { return mayLead(); }}),
-      keeper_(scheduler, transport, proposer_, chosen_, membership_, election_, settings.name,
-              copiesTolerated(settings.tolerance)),
+      store_view_manager_(scheduler, transport, proposer_, chosen_, membership_, election_, settings.name,
+                          toleratedFailures(settings.tolerance)),
       voter_set_manager_(
           scheduler, transport, voter_, proposer_, membership_, settings.name, settings.tolerance.machines,
-          {.is_acting_leader = [this] { return keeper_.isActing(); },
+          {.is_acting_leader = [this] { return store_view_manager_.isActing(); },
            .peers = [this] { return peers(); },
            .holds_lease_from =
                [this](std::uint64_t version) { return election_.leaseVotersVersion() == version; },
@@ -136,7 +139,7 @@
           {settings.zone, settings.topology, {settings.tolerance.zones, settings.tolerance.regions}}),
       distribution_(
           scheduler,
-          {.is_fresh = [this] { return chosen_.isFresh() && unreadable_.empty(); },
+          {.is_fresh = [this] { return chosen_.isFresh() && unreadable_keys_.empty(); },
            .is_confirmed_since = [this](SteadyTime since) { return chosen_.isConfirmedSince(since); },
            .confirm = [this] { chosen_.requestConfirmation(); }},
           settings.limits.link_mbps),
@@ -157,7 +160,7 @@
     if (settings_.cloud) {
         poller_.emplace(scheduler, cloud, *settings_.cloud,
                         ServerPoller::Hooks{
-                            .may_poll = [this] { return keeper_.isActing(); },
+                            .may_poll = [this] { return store_view_manager_.isActing(); },
                             .publish = [this](ServerList list) { distribution_.setServers(std::move(list)); },
                             .published = [this] { return distribution_.servers(); }});
     }
@@ -166,12 +169,12 @@
 
 void ControlNode::Impl::connectModules() {
     chosen_.onChange([this](const std::string& key) { onRegisterChange(key); });
-    chosen_.onConfirmed([this] { distribution_.confirmed(); });
-    membership_.onChange([this] { keeper_.check(); });
+    chosen_.onConfirmed([this] { distribution_.onConfirmed(); });
+    membership_.onChange([this] { store_view_manager_.check(); });
     recovery_.onRecovered([this] { renewAtPeers(); });
-    election_.onElected([this] { keeper_.onElected(); });
+    election_.onElected([this] { store_view_manager_.onElected(); });
     election_.onVoterSetChanged([this] { voter_set_manager_.onLeaseGrantedByNewVoters(); });
-    keeper_.onClaimed([this](std::uint64_t term) {
+    store_view_manager_.onClaimed([this](std::uint64_t term) {
         if (poller_) poller_->start(term);
     });
     disk_.onHealthChange(lifetime_.guard([this](bool healthy) { onDiskHealth(healthy); }));
@@ -197,7 +200,7 @@
 
 std::vector<NodeAddress> ControlNode::Impl::coreAddresses() const {
     std::set<NodeAddress> addresses(voter_.voters().begin(), voter_.voters().end());
-    // The voters known here may be out of date, where no majority of them answers.
+    // If no majority of the known voters answers, the known voter set may be out of date.
     if (!chosen_.isFresh()) {
         const std::vector<NodeAddress> seeds = seedAddresses();
         addresses.insert(seeds.begin(), seeds.end());
@@ -212,8 +215,8 @@
     return addresses;
 }
 
-// Each zone, or region, that may be lost takes a machine at least.
-std::uint32_t ControlNode::Impl::copiesTolerated(const Tolerance& tolerance) {
+// Losing a zone or a region means losing at least one machine.
+std::uint32_t ControlNode::Impl::toleratedFailures(const Tolerance& tolerance) {
     return std::max({tolerance.machines, tolerance.zones, tolerance.regions});
 }
 
@@ -272,13 +275,13 @@
     if (request.member.kind == NodeKind::core) voter_set_manager_.onLeaseRenewed(request.member.name);
     RenewLeaseReply answer;
     answer.zone = settings_.zone;
-    answer.leader = keeper_.isActing();
+    answer.leader = store_view_manager_.isActing();
     answer.leader_name = leaderName();
     answer.core = coreAddresses();
     answer.core_digest = digestOf(answer.core);
     if (answer.core_digest == request.core_digest) answer.core.clear();
-    const bool has_listened = scheduler_.now() - started_at_ >= kListenFirst;
-    if (has_listened) answer.share = membership_.edgeShare(request.member, settings_.topology);
+    const bool has_full_edge_count = scheduler_.now() - started_at_ >= kEdgeCountDelay;
+    if (has_full_edge_count) answer.share = membership_.edgeShare(request.member, settings_.topology);
     if (chosen_.isFresh()) {
         answer.config_generation = distribution_.configurationGeneration();
         answer.view_epoch = distribution_.view() == nullptr ? 0 : distribution_.view()->epoch;
@@ -289,36 +292,36 @@
 void ControlNode::Impl::onRegisterChange(const std::string& key) {
     const ChosenValue* value = chosen_.find(key);
     if (value == nullptr) return;
-    unreadable_.erase(key);
+    unreadable_keys_.erase(key);
     if (key == kConfigKey) {
         if (const auto state = readConfigurationState(value->value))
             return distribution_.setConfiguration(*state);
     } else if (auto view = readStoreView(value->value)) {
-        keeper_.onView(*view);
+        store_view_manager_.onView(*view);
         return distribution_.setView(std::move(*view));
     }
-    LOG(ERROR) << "the value of " << key << " in the register is not readable; nothing is handed out";
-    unreadable_.insert(key);
+    LOG(ERROR) << "the value of " << key << " in the register is not readable; distribution is suspended";
+    unreadable_keys_.insert(key);
 }
 
 void ControlNode::Impl::onDiskHealth(bool healthy) {
     if (healthy) {
-        LOG(INFO) << settings_.name << " votes again where it is a voter: its disk works";
-        disk_fails_since_.reset();
+        LOG(INFO) << settings_.name << ": disk works again; resumes voting if it is a voter";
+        disk_failed_since_.reset();
         voter_.onDiskHealthy();
     } else {
-        LOG(ERROR) << settings_.name << " does not vote while its disk fails";
-        disk_fails_since_ = scheduler_.now();
+        LOG(ERROR) << settings_.name << ": disk failed; does not vote until it recovers";
+        disk_failed_since_ = scheduler_.now();
     }
     renewAtPeers();
 }
 
 bool ControlNode::Impl::mayLead() const {
-    return !disk_fails_since_ || scheduler_.now() - *disk_fails_since_ < kLeadsWithoutDisk;
+    return !disk_failed_since_ || scheduler_.now() - *disk_failed_since_ < kMaxLeadWithoutDisk;
 }
 
 template <class Request, class Handler>
-void ControlNode::Impl::answerNow(const Envelope& request, const Responder& respond, Handler handler) {
+void ControlNode::Impl::replyTo(const Envelope& request, const Responder& respond, Handler handler) {
     const std::optional<Request> message = decode<Request>(request.body);
     if (message) respond(reply(handler(*message)));
 }
@@ -326,7 +329,7 @@
 void ControlNode::Impl::serve(const Envelope& request, const Responder& respond) {
     const auto kind = static_cast<MessageKind>(request.kind);
     if (kind == kReadVoters) {
-        return answerNow<ReadVotersRequest>(request, respond, [this](const ReadVotersRequest&) {
+        return replyTo<ReadVotersRequest>(request, respond, [this](const ReadVotersRequest&) {
             return ReadVotersReply{voter_.voterSet()};
         });
     }
@@ -345,20 +348,20 @@
             }
             return;
         case MessageKind::register_chosen:
-            return answerNow<ChosenNotice>(request, respond, [this](const ChosenNotice& notice) {
+            return replyTo<ChosenNotice>(request, respond, [this](const ChosenNotice& notice) {
                 chosen_.learn(notice);
                 return Acknowledgement{};
             });
         case MessageKind::register_read_chosen:
-            return answerNow<ReadChosenRequest>(request, respond, [this](const ReadChosenRequest& message) {
+            return replyTo<ReadChosenRequest>(request, respond, [this](const ReadChosenRequest& message) {
                 return chosen_.answer(message);
             });
         case MessageKind::leader_lease:
-            return answerNow<LeaderLeaseRequest>(request, respond, [this](const LeaderLeaseRequest& message) {
+            return replyTo<LeaderLeaseRequest>(request, respond, [this](const LeaderLeaseRequest& message) {
                 return election_.vote(message);
             });
         case MessageKind::renew_lease:
-            return answerNow<RenewLeaseRequest>(
+            return replyTo<RenewLeaseRequest>(
                 request, respond, [this](const RenewLeaseRequest& message) { return onRenew(message); });
         case MessageKind::read_configuration:
             return readConfiguration(
@@ -377,12 +380,13 @@
     leaving_ = true;
     election_.leave();
     renewAtPeers();
-    leave_timer_ = scheduler_.after(kLeaveTime, std::move(done));
+    leave_timer_ = scheduler_.after(kLeaveGracePeriod, std::move(done));
 }
 
 std::string ControlNode::Impl::statusJson() const {
-    return statusAsJson({settings_, voter_, chosen_, election_, keeper_, membership_, distribution_},
-                        scheduler_.now());
+    return statusAsJson(
+        {settings_, voter_, chosen_, election_, store_view_manager_, membership_, distribution_},
+        scheduler_.now());
 }
 
 ControlNode::ControlNode(Scheduler& scheduler, Transport& transport, HttpClient& cloud, RecordStore& disk,
--- a/src/cluster/control/control_node.hpp
+++ b/src/cluster/control/control_node.hpp
@@ -1,5 +1,5 @@
-// The core role: assembles the register, the leader lease, membership, the store view, the list of servers
-// and the operator's API of one core machine.
+// The core role of one machine: connects the register, the leader lease, membership, the store view, the
+// server list and the operator API.
 #pragma once
 
 #include <functional>
@@ -15,23 +15,25 @@
 
 namespace amberswitch::cluster {
 
+// The constructor arguments, except the settings, must outlive the node.
 class ControlNode {
 public:
-    // Serves `transport`, which listens at settings.internal(PortOffset::core).
+    // Serves requests of `transport`, which listens at settings.internal(PortOffset::core).
     ControlNode(Scheduler& scheduler, Transport& transport, HttpClient& cloud, RecordStore& disk,
                 const NodeSettings& settings, Incarnation incarnation);
     ~ControlNode();
 
     void start();
-    // A request to the control address.
+    // Handles a request to the control address.
     void handleHttp(const HttpRequest& request, HttpResponder respond);
-    // Gives the leader lease back; `done` runs once that has been said.
+    // Announces that this machine leaves and releases the leader lease; `done` runs 100 ms later, when the
+    // messages have been sent.
     void leave(std::function<void()> done);
-    // Control addresses of the core machines; they may change while the process runs.
+    // Sets the control addresses of the core machines; they may change while the process runs.
     void setSeeds(const std::vector<NodeAddress>& seeds);
     // Members, leases, leader, versions, view and the state of the voter, as JSON.
     std::string statusJson() const;
-    // Its figures, one a line.
+    // Metrics, one a line.
     std::string metricsText() const;
 
 private:
--- a/src/cluster/control/control_status.cpp
+++ b/src/cluster/control/control_status.cpp
@@ -31,7 +31,7 @@
     json.Int64(value);
 }
 
-const char* textOf(NodeKind kind) {
+const char* nameOf(NodeKind kind) {
     switch (kind) {
         case NodeKind::core:
             return "core";
@@ -70,17 +70,17 @@
     json.StartArray();
     for (const NodeKind kind : {NodeKind::core, NodeKind::store, NodeKind::edge}) {
         for (const MemberEntry& entry : membership.known(kind)) {
-            const auto silent = std::chrono::duration_cast<Millis>(now - entry.last_seen);
+            const auto since_last_renewal = std::chrono::duration_cast<Millis>(now - entry.last_seen);
             json.StartObject();
             write(json, "name", entry.member.name);
-            write(json, "kind", std::string(textOf(kind)));
+            write(json, "kind", std::string(nameOf(kind)));
             write(json, "zone", entry.member.zone);
             write(json, "address", entry.member.address.text());
             write(json, "incarnation", entry.member.incarnation);
             write(json, "lease", membership.holdsLease(entry));
             write(json, "leaving", entry.member.leaving);
             write(json, "diskFailed", entry.member.disk_failed);
-            write(json, "silentMs", static_cast<std::int64_t>(silent.count()));
+            write(json, "silentMs", static_cast<std::int64_t>(since_last_renewal.count()));
             write(json, "configuration", entry.config_generation);
             write(json, "viewEpoch", entry.view_epoch);
             json.EndObject();
@@ -124,10 +124,10 @@
         json.Null();
         return;
     }
-    std::map<std::string, std::uint64_t> by_service;
+    std::map<std::string, std::uint64_t> counts_by_service;
     std::uint64_t draining = 0;
     for (const ServerEntry& server : list->servers) {
-        ++by_service[server.service];
+        ++counts_by_service[server.service];
         if (server.draining) ++draining;
     }
     json.StartObject();
@@ -136,7 +136,7 @@
     write(json, "draining", draining);
     json.Key("byService");
     json.StartObject();
-    for (const auto& [service, count] : by_service) write(json, service.c_str(), count);
+    for (const auto& [service, count] : counts_by_service) write(json, service.c_str(), count);
     json.EndObject();
     json.EndObject();
 }
@@ -155,7 +155,7 @@
 std::string metricsAsText(const StatusSources& sources) {
     const StoreView* const view = sources.distribution.view();
     MetricsText text;
-    text.add("leads", sources.keeper.isActing() ? 1 : 0);
+    text.add("leads", sources.store_view_manager.isActing() ? 1 : 0);
     text.add("votes", sources.voter.canVote() ? 1 : 0);
     text.add("disk_works", sources.voter.isDiskHealthy() ? 1 : 0);
     text.add("majority_in_contact", sources.chosen.isFresh() ? 1 : 0);
@@ -163,7 +163,7 @@
     text.add("configuration", static_cast<std::uint64_t>(sources.distribution.configurationGeneration()));
     text.add("view_epoch", view == nullptr ? 0 : view->epoch);
     text.add("leader_term", view == nullptr ? 0 : view->leader_term);
-    if (sources.keeper.isActing()) text.add("own_term", sources.keeper.term());
+    if (sources.store_view_manager.isActing()) text.add("own_term", sources.store_view_manager.term());
     const ServerList* const servers = sources.distribution.servers();
     text.add("servers_term", servers == nullptr ? 0 : servers->version.term);
     text.add("servers_count", servers == nullptr ? 0 : servers->version.count);
@@ -182,7 +182,7 @@
     json.StartObject();
     write(json, "node", sources.settings.name);
     write(json, "zone", sources.settings.zone);
-    write(json, "leads", sources.keeper.isActing());
+    write(json, "leads", sources.store_view_manager.isActing());
     write(json, "leaseHolder", sources.election.grantor().holder());
     write(json, "configuration", sources.distribution.configurationGeneration());
     write(json, "watchers", static_cast<std::uint64_t>(sources.distribution.watchers()));
--- a/src/cluster/control/control_status.hpp
+++ b/src/cluster/control/control_status.hpp
@@ -1,4 +1,4 @@
-// The JSON of GET /status.
+// The responses to GET /status and GET /metrics.
 #pragma once
 
 #include <string>
@@ -11,24 +11,25 @@
 #include "cluster/control/leader_election.hpp"
 #include "cluster/control/membership.hpp"
 #include "cluster/control/register_voter.hpp"
-#include "cluster/control/store_view_keeper.hpp"
+#include "cluster/control/store_view_manager.hpp"
 
 namespace amberswitch::cluster {
 
-// The modules that the status reads.
+// The components whose state is reported.
 struct StatusSources {
     const NodeSettings& settings;
     const RegisterVoter& voter;
     const ChosenValues& chosen;
     const LeaderElection& election;
-    const StoreViewKeeper& keeper;
+    const StoreViewManager& store_view_manager;
     const Membership& membership;
     const Distribution& distribution;
 };
 
-// The figures of GET /metrics.
+// The metrics of GET /metrics, one a line.
 std::string metricsAsText(const StatusSources& sources);
 
+// The JSON of GET /status. `now` serves for the time since the last renewal of each member.
 std::string statusAsJson(const StatusSources& sources, SteadyTime now);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/core_client.cpp
+++ b/src/cluster/control/core_client.cpp
@@ -21,15 +21,17 @@
 constexpr Millis kRenewTimeout{400};
 constexpr Millis kWatchWait{1000};
 constexpr Millis kWatchTimeout{1600};
-constexpr Millis kNextWatchPause{5};        // bounds the rate, whatever is answered
-constexpr std::int64_t kAllFailedMs = 100;  // shortest pause after all core machines failed in turn; doubles
-constexpr int kAllFailedDoublings = 2;
-constexpr Millis kEdgeCountKept{2000};    // a count of edges that counts
-constexpr Millis kWatchTellsWithin{200};  // what is newer than what the caller has
-constexpr int kMissesToMove = 2;          // renewals missed in a row by the machine that is being watched
-constexpr Millis kNamesKept{5000};        // the core machines that one of them named count for this long
-constexpr int kMissesOfStaleSeed = 10;    // a seed that nobody names any more is then asked rarely
-constexpr int kStaleSeedEvery = 20;       // renewals
+constexpr Millis kWatchPause{5};                   // limits the rate when watches are answered immediately
+constexpr std::int64_t kAllFailedBackoffMs = 100;  // initial back-off after all core machines failed in turn
+constexpr int kMaxBackoffDoublings = 2;
+constexpr Millis kEdgeShareRetention{2000};  // reported shares older than this are ignored
+// Within it, the watched machine itself is expected to send newer content.
+constexpr Millis kWatchAnswerGrace{200};
+constexpr int kMissedRenewalsToSwitch = 2;  // in a row, by the watched machine
+// A list of core machines is used this long after the last answer of its sender.
+constexpr Millis kCoreListRetention{5000};
+constexpr int kMissedRenewalsOfStaleSeed = 10;  // a seed that no core machine lists is then contacted rarely
+constexpr int kStaleSeedRenewInterval = 20;     // in renewal rounds
 
 }  // namespace
 
@@ -51,37 +53,37 @@
     std::vector<NodeAddress> coreMachines() const;
 
 private:
-    // What is known of one core machine.
+    // State of one core machine.
     struct CoreMachine {
         std::optional<SteadyTime> last_answer;
-        EdgeShare share{0, 0, 0};  // of this process, as it told last
+        EdgeShare share{0, 0, 0};  // of this process, from the last answer
         int missed_renewals = 0;
-        std::vector<NodeAddress> named;  // the core machines that it told last
-        std::uint64_t named_digest = 0;
+        std::vector<NodeAddress> reported_core;  // the core machines that it listed last
+        std::uint64_t reported_core_digest = 0;
     };
 
     std::vector<NodeAddress> addresses() const;
-    std::set<NodeAddress> namedLately() const;
+    std::set<NodeAddress> recentlyReportedCore() const;
     bool isStaleSeed(const NodeAddress& seed) const;
-    void forgetUnnamed();
-    bool answeredLately(const NodeAddress& address) const;
+    void forgetUnreported();
+    bool answeredRecently(const NodeAddress& address) const;
 
     void renewAll();
-    bool restsNow(const NodeAddress& address) const;
+    bool skipsRenewal(const NodeAddress& address) const;
     void renewAt(const NodeAddress& address);
     void onRenewed(const NodeAddress& address, const std::optional<RenewLeaseReply>& reply);
     bool isFetching() const;
-    void followNewer(const NodeAddress& address, const RenewLeaseReply& reply);
-    void leaveSilentMachine(const NodeAddress& address);
+    void switchToNewer(const NodeAddress& address, const RenewLeaseReply& reply);
+    void switchFromUnresponsive(const NodeAddress& address);
 
     void watchNext();
     void watchAt(const NodeAddress& address);
     void onWatched(std::uint64_t serial, const NodeAddress& address, std::optional<WatchReply> reply);
     Distance distanceTo(const NodeAddress& address) const;
-    // A core machine that answers renewals and is nearer than the one that is watched.
-    std::optional<NodeAddress> nearerThan(const NodeAddress& watched) const;
-    void planRound();
-    void planRoundWithout(const NodeAddress& failed);
+    // A core machine that answers renewals and is nearer than the watched one.
+    std::optional<NodeAddress> findNearerThan(const NodeAddress& watched) const;
+    void planWatchCandidates();
+    void planWatchCandidatesWithout(const NodeAddress& failed);
 
     void take(WatchReply reply);
     void takePage(const ConfigurationPage& page);
@@ -98,21 +100,22 @@
     std::mt19937_64 random_;
 
     std::map<NodeAddress, CoreMachine> machines_;
-    std::set<NodeAddress> last_named_;  // kept while no core machine answers
-    std::uint64_t renewals_ = 0;
-    EdgeShare last_share_;  // kept while no core machine can tell
+    std::set<NodeAddress> last_reported_core_;  // used while no core machine answers
+    std::uint64_t renewal_rounds_ = 0;
+    EdgeShare last_share_;  // used while no core machine reports one
     std::optional<SteadyTime> last_contact_;
-    std::vector<NodeAddress> round_;  // machines to watch next, the next one last
-    bool follows_ = false;            // the machine that is watched has answered a watch before
-    int failed_rounds_ = 0;           // in a row
+    std::vector<NodeAddress> watch_candidates_;  // untried machines of this round, the next one last
+    bool watch_established_ = false;             // the watched machine has answered a watch before
+    int failed_rounds_ = 0;                      // in a row
     std::optional<NodeAddress> watched_;
     SteadyTime watched_since_{};
-    std::uint64_t watch_serial_ = 0;  // answers to earlier watches move nothing on
+    std::uint64_t watch_serial_ = 0;  // a late answer to an earlier watch does not start the next watch
 
-    std::int64_t seen_generation_ = 0;  // also of a configuration that could not be used
+    std::int64_t seen_generation_ = 0;  // includes configurations that were skipped as invalid
     ConfigurationAssembler assembler_;
     SteadyTime last_page_at_{};
-    KnownConfiguration update_base_;  // of `configuration_`; none after an update that could not be applied
+    // Version of `configuration_`; reset after an update that could not be applied.
+    KnownConfiguration update_base_;
     std::shared_ptr<const Configuration> configuration_;
     std::shared_ptr<const ServerList> servers_;
     std::shared_ptr<const StoreView> view_;
@@ -143,7 +146,7 @@
 
 void CoreClient::Impl::setDiskFailed(bool failed) {
     if (std::exchange(self_.disk_failed, failed) == failed) return;
-    if (renew_timer_) renewAll();  // else it has not started yet
+    if (renew_timer_) renewAll();  // unset before start()
 }
 
 void CoreClient::Impl::setSeeds(std::vector<NodeAddress> core) {
@@ -153,53 +156,54 @@
 }
 
 std::vector<NodeAddress> CoreClient::Impl::addresses() const {
-    std::set<NodeAddress> all = namedLately();
-    if (all.empty()) all = last_named_;
+    std::set<NodeAddress> all = recentlyReportedCore();
+    if (all.empty()) all = last_reported_core_;
     for (const NodeAddress& seed : seeds_) {
-        if (!isStaleSeed(seed) || renewals_ % kStaleSeedEvery == 0) all.insert(seed);
+        if (!isStaleSeed(seed) || renewal_rounds_ % kStaleSeedRenewInterval == 0) all.insert(seed);
     }
     return {all.begin(), all.end()};
 }
 
-// All that core machines told which answered lately, they themselves included.
-std::set<NodeAddress> CoreClient::Impl::namedLately() const {
-    std::set<NodeAddress> named;
+// The core machines that answered recently, and all machines that they listed.
+std::set<NodeAddress> CoreClient::Impl::recentlyReportedCore() const {
+    std::set<NodeAddress> reported_core;
     for (const auto& [address, machine] : machines_) {
-        if (!machine.last_answer || scheduler_.now() - *machine.last_answer > kNamesKept) continue;
-        named.insert(address);
-        named.insert(machine.named.begin(), machine.named.end());
+        if (!machine.last_answer || scheduler_.now() - *machine.last_answer > kCoreListRetention) continue;
+        reported_core.insert(address);
+        reported_core.insert(machine.reported_core.begin(), machine.reported_core.end());
     }
-    return named;
+    return reported_core;
 }
 
-// A machine that was replaced: silent for long, while others answer that don't name it.
+// A seed that was probably replaced: it misses renewals, while machines that do answer don't list it.
 bool CoreClient::Impl::isStaleSeed(const NodeAddress& seed) const {
     const auto found = machines_.find(seed);
-    if (found == machines_.end() || found->second.missed_renewals < kMissesOfStaleSeed) return false;
-    const std::set<NodeAddress> named = namedLately();
-    return !named.empty() && !named.contains(seed);
+    if (found == machines_.end() || found->second.missed_renewals < kMissedRenewalsOfStaleSeed) return false;
+    const std::set<NodeAddress> reported_core = recentlyReportedCore();
+    return !reported_core.empty() && !reported_core.contains(seed);
 }
 
-void CoreClient::Impl::forgetUnnamed() {
-    const std::set<NodeAddress> named = namedLately();
-    if (named.empty()) return;
-    last_named_ = named;
+void CoreClient::Impl::forgetUnreported() {
+    const std::set<NodeAddress> reported_core = recentlyReportedCore();
+    if (reported_core.empty()) return;
+    last_reported_core_ = reported_core;
     std::erase_if(machines_, [&](const auto& entry) {
         const bool is_seed = std::find(seeds_.begin(), seeds_.end(), entry.first) != seeds_.end();
-        return !is_seed && !named.contains(entry.first);
+        return !is_seed && !reported_core.contains(entry.first);
     });
 }
 
 EdgeShare CoreClient::Impl::edgeShare() const {
     EdgeShare most{0, 0, 0};
     for (const auto& [address, machine] : machines_) {
-        const bool counts = machine.last_answer && scheduler_.now() - *machine.last_answer <= kEdgeCountKept;
+        const bool counts =
+            machine.last_answer && scheduler_.now() - *machine.last_answer <= kEdgeShareRetention;
         if (counts) most = std::max(most, machine.share);
     }
     return most.edges == 0 ? last_share_ : most;
 }
 
-bool CoreClient::Impl::answeredLately(const NodeAddress& address) const {
+bool CoreClient::Impl::answeredRecently(const NodeAddress& address) const {
     const auto found = machines_.find(address);
     if (found == machines_.end() || !found->second.last_answer) return false;
     return scheduler_.now() - *found->second.last_answer <= kRecentReplyWindow;
@@ -208,26 +212,28 @@
 std::vector<NodeAddress> CoreClient::Impl::coreMachines() const {
     std::vector<NodeAddress> machines = addresses();
     std::stable_partition(machines.begin(), machines.end(),
-                          [this](const NodeAddress& address) { return answeredLately(address); });
+                          [this](const NodeAddress& address) { return answeredRecently(address); });
     return machines;
 }
 
-// --- The lease ---------------------------------------------------------------------------------------------
+// --- Lease renewal -----------------------------------------------------------------------------------------
 
 void CoreClient::Impl::renewAll() {
-    ++renewals_;
-    forgetUnnamed();
+    ++renewal_rounds_;
+    forgetUnreported();
     for (const NodeAddress& address : addresses()) {
-        if (!restsNow(address)) renewAt(address);
+        if (!skipsRenewal(address)) renewAt(address);
     }
     Millis pause = self_.kind == NodeKind::store ? kStoreRenewInterval : kEdgeRenewInterval;
     if (self_.leaving) pause = kLeaveRenewInterval;
     renew_timer_ = scheduler_.after(pause, [this] { renewAll(); });
 }
 
-// A dispatcher's lease lasts for several renewals: core machines of other regions hear every second one.
-bool CoreClient::Impl::restsNow(const NodeAddress& address) const {
-    if (self_.kind != NodeKind::edge || self_.leaving || renewals_ % kRemoteRenewIntervals == 0) return false;
+// A dispatcher's lease outlasts several renewals, so core machines in other regions get only every second
+// one.
+bool CoreClient::Impl::skipsRenewal(const NodeAddress& address) const {
+    if (self_.kind != NodeKind::edge || self_.leaving || renewal_rounds_ % kRemoteRenewIntervals == 0)
+        return false;
     const auto found = machines_.find(address);
     const bool answers =
         found != machines_.end() && found->second.last_answer && found->second.missed_renewals == 0;
@@ -240,7 +246,7 @@
     request.view_epoch = view_ ? view_->epoch : 0;
     request.config_generation = configuration_ ? configuration_->generation : 0;
     const auto known = machines_.find(address);
-    if (known != machines_.end()) request.core_digest = known->second.named_digest;
+    if (known != machines_.end()) request.core_digest = known->second.reported_core_digest;
     const auto done = [this, address](const std::optional<RenewLeaseReply>& reply) {
         onRenewed(address, reply);
     };
@@ -252,87 +258,89 @@
     CoreMachine& machine = machines_[address];
     if (!reply) {
         ++machine.missed_renewals;
-        return leaveSilentMachine(address);
+        return switchFromUnresponsive(address);
     }
     machine.missed_renewals = 0;
     machine.last_answer = last_contact_ = scheduler_.now();
     machine.share = reply->share;
     last_share_ = edgeShare();
-    if (reply->core_digest == 0 || reply->core_digest != machine.named_digest) {
-        machine.named = reply->core;
-        machine.named_digest = reply->core_digest;
+    if (reply->core_digest == 0 || reply->core_digest != machine.reported_core_digest) {
+        machine.reported_core = reply->core;
+        machine.reported_core_digest = reply->core_digest;
     }
     locations_.learn(address, reply->zone);
-    followNewer(address, *reply);
+    switchToNewer(address, *reply);
 }
 
-// Pages of an update come in from the machine that is watched.
+// Whether pages of an update are arriving from the watched machine.
 bool CoreClient::Impl::isFetching() const {
-    return assembler_.isUnderWay() && scheduler_.now() - last_page_at_ < kWatchWait;
+    return assembler_.isInProgress() && scheduler_.now() - last_page_at_ < kWatchWait;
 }
 
-// The machine that is watched may be cut off from the rest of the core, or from here, without being silent.
-void CoreClient::Impl::followNewer(const NodeAddress& address, const RenewLeaseReply& reply) {
+// Watches the machine that reported newer versions in a renewal: the watched machine may be partitioned from
+// the rest of the core, or from this process, while it still answers.
+void CoreClient::Impl::switchToNewer(const NodeAddress& address, const RenewLeaseReply& reply) {
     const Epoch epoch = view_ ? view_->epoch : 0;
     const bool newer = reply.config_generation > seen_generation_ || reply.view_epoch > epoch;
-    const bool is_watched = watched_ == address && scheduler_.now() - watched_since_ < kWatchTellsWithin;
+    const bool is_watched = watched_ == address && scheduler_.now() - watched_since_ < kWatchAnswerGrace;
     if (!newer || is_watched || isFetching()) return;
     watch_timer_.reset();
-    planRoundWithout(address);
+    planWatchCandidatesWithout(address);
     watchAt(address);
 }
 
-// A machine without power never breaks the connection: the renewals tell sooner than the timeout of the
-// watch.
-void CoreClient::Impl::leaveSilentMachine(const NodeAddress& address) {
-    if (watched_ != address || machines_[address].missed_renewals < kMissesToMove) return;
+// A machine that lost power never closes its connection. Missed renewals reveal that sooner than the time-out
+// of the watch.
+void CoreClient::Impl::switchFromUnresponsive(const NodeAddress& address) {
+    if (watched_ != address || machines_[address].missed_renewals < kMissedRenewalsToSwitch) return;
     const std::vector<NodeAddress> all = addresses();
     const bool better = std::any_of(all.begin(), all.end(), [&](const NodeAddress& other) {
-        return other != address && machines_[other].missed_renewals == 0 && answeredLately(other);
+        return other != address && machines_[other].missed_renewals == 0 && answeredRecently(other);
     });
     if (!better) return;
-    planRoundWithout(address);
+    planWatchCandidatesWithout(address);
     watchNext();
 }
 
 // --- The watch ---------------------------------------------------------------------------------------------
 
-// A random order, with those that have answered lately before the others, and the nearer ones first.
-void CoreClient::Impl::planRound() {
-    round_ = addresses();
-    std::shuffle(round_.begin(), round_.end(), random_);
-    std::stable_sort(round_.begin(), round_.end(), [this](const NodeAddress& left, const NodeAddress& right) {
-        return distanceTo(left) > distanceTo(right);
-    });
-    std::stable_partition(round_.begin(), round_.end(),
-                          [this](const NodeAddress& address) { return !answeredLately(address); });
+// Random order; machines that answered recently come before the others, and among them the nearer ones first.
+void CoreClient::Impl::planWatchCandidates() {
+    watch_candidates_ = addresses();
+    std::shuffle(watch_candidates_.begin(), watch_candidates_.end(), random_);
+    std::stable_sort(watch_candidates_.begin(), watch_candidates_.end(),
+                     [this](const NodeAddress& left, const NodeAddress& right) {
+                         return distanceTo(left) > distanceTo(right);
+                     });
+    std::stable_partition(watch_candidates_.begin(), watch_candidates_.end(),
+                          [this](const NodeAddress& address) { return !answeredRecently(address); });
 }
 
 Distance CoreClient::Impl::distanceTo(const NodeAddress& address) const {
     return locations_.distanceTo(address).value_or(Distance::other_region);
 }
 
-std::optional<NodeAddress> CoreClient::Impl::nearerThan(const NodeAddress& watched) const {
+std::optional<NodeAddress> CoreClient::Impl::findNearerThan(const NodeAddress& watched) const {
     for (const auto& [address, machine] : machines_) {
-        const bool answers = machine.missed_renewals == 0 && answeredLately(address);
+        const bool answers = machine.missed_renewals == 0 && answeredRecently(address);
         if (answers && distanceTo(address) < distanceTo(watched)) return address;
     }
     return std::nullopt;
 }
 
-void CoreClient::Impl::planRoundWithout(const NodeAddress& failed) {
-    planRound();
-    std::erase(round_, failed);
+void CoreClient::Impl::planWatchCandidatesWithout(const NodeAddress& failed) {
+    planWatchCandidates();
+    std::erase(watch_candidates_, failed);
 }
 
 void CoreClient::Impl::watchNext() {
-    if (round_.empty()) planRound();
-    if (round_.empty()) {
-        watch_timer_ = scheduler_.after(Millis(kAllFailedMs), [this] { watchNext(); });
+    if (watch_candidates_.empty()) planWatchCandidates();
+    if (watch_candidates_.empty()) {
+        watch_timer_ = scheduler_.after(Millis(kAllFailedBackoffMs), [this] { watchNext(); });
         return;
     }
-    const NodeAddress next = round_.back();
-    round_.pop_back();
+    const NodeAddress next = watch_candidates_.back();
+    watch_candidates_.pop_back();
     watchAt(next);
 }
 
@@ -359,21 +367,21 @@
                                  std::optional<WatchReply> reply) {
     const bool answered = reply.has_value();
     const bool is_late = serial != watch_serial_;
-    // What was given up for another watch must not throw away the pages that have come since.
-    if (answered && is_late && assembler_.isUnderWay()) reply->config.reset();
+    // A late page from an abandoned watch must not discard the pages received since.
+    if (answered && is_late && assembler_.isInProgress()) reply->config.reset();
     if (answered) take(std::move(*reply));
     if (is_late) return;
     if (answered) {
-        follows_ = true;
+        watch_established_ = true;
         failed_rounds_ = 0;
-        const NodeAddress next = nearerThan(address).value_or(address);
-        watch_timer_ = scheduler_.after(kNextWatchPause, [this, next] { watchAt(next); });
+        const NodeAddress next = findNearerThan(address).value_or(address);
+        watch_timer_ = scheduler_.after(kWatchPause, [this, next] { watchAt(next); });
         return;
     }
-    if (std::exchange(follows_, false)) planRoundWithout(address);
-    if (!round_.empty()) return watchNext();
-    const std::int64_t pause = kAllFailedMs << std::min(failed_rounds_++, kAllFailedDoublings);
-    const std::int64_t extra = std::uniform_int_distribution<std::int64_t>(0, kAllFailedMs)(random_);
+    if (std::exchange(watch_established_, false)) planWatchCandidatesWithout(address);
+    if (!watch_candidates_.empty()) return watchNext();
+    const std::int64_t pause = kAllFailedBackoffMs << std::min(failed_rounds_++, kMaxBackoffDoublings);
+    const std::int64_t extra = std::uniform_int_distribution<std::int64_t>(0, kAllFailedBackoffMs)(random_);
     watch_timer_ = scheduler_.after(Millis(pause + extra), [this] { watchNext(); });
 }
 
@@ -395,10 +403,11 @@
     const bool whole = last_page.base_generation == 0;
     try {
         const std::optional<ConfigurationUpdate> update = decodeUpdate(bytes);
-        if (!update) throw ConfigurationError("update", "it can't be read");
+        if (!update) throw ConfigurationError("update", "it can't be decoded");
         configuration_ = std::make_shared<const Configuration>(applyUpdate(configuration_.get(), *update));
     } catch (const ConfigurationError& error) {
-        LOG(ERROR) << "configuration " << generation << (whole ? " is skipped: " : " is asked for whole: ")
+        LOG(ERROR) << "update to configuration " << generation
+                   << (whole ? " is invalid and skipped: " : " failed; requesting the full configuration: ")
                    << error.what();
         update_base_ = {};
         if (whole) seen_generation_ = generation;
--- a/src/cluster/control/core_client.hpp
+++ b/src/cluster/control/core_client.hpp
@@ -1,5 +1,6 @@
-// A dispatcher's link to the core: renews its lease at every core machine and long-polls one of them for what
-// is newer than what it has. Used by edges and stores; never goes back to an older version.
+// A dispatcher's client of the core: renews its lease at every core machine and long-polls one of them for a
+// newer configuration, server list and store view. Used by edges and stores; never goes back to an older
+// version.
 #pragma once
 
 #include <functional>
@@ -17,8 +18,10 @@
 
 namespace amberswitch::cluster {
 
+// Core machines are found through the seeds and through the lists in the replies to renewals.
 class CoreClient {
 public:
+    // Called with each newer version; all are optional.
     struct Callbacks {
         std::function<void(std::shared_ptr<const Configuration>)> on_configuration;
         std::function<void(std::shared_ptr<const ServerList>)> on_servers;
@@ -26,27 +29,29 @@
     };
 
     // `core`: internal addresses of the core machines named by the seeds. `locations` must outlive the
-    // client, which notes there where core machines and stores stand, and watches a near core machine.
+    // client, which records the zones of core machines and stores there and prefers to watch a near core
+    // machine.
     CoreClient(Scheduler& scheduler, Transport& transport, Member self, std::vector<NodeAddress> core,
                NodeLocations& locations, Callbacks callbacks);
     ~CoreClient();
 
     void start();
-    // Tells the core of the planned end at once, until it has been heard.
+    // Reports immediately that this process is leaving, and repeats that every 100 ms.
     void leave();
-    // Tells the core at once that the disk of this machine fails, or works again.
+    // Reports immediately that the disk of this machine has failed or works again.
     void setDiskFailed(bool failed);
-    // Seeds may change while the process runs.
+    // Replaces the seeds; they may change while the process runs.
     void setSeeds(std::vector<NodeAddress> core);
 
-    std::shared_ptr<const Configuration> configuration() const;  // null before the first
+    // Each is null until the first version has arrived.
+    std::shared_ptr<const Configuration> configuration() const;
     std::shared_ptr<const ServerList> servers() const;
     std::shared_ptr<const StoreView> view() const;
-    // This dispatcher's place among all; one of one before any core machine could tell.
+    // This dispatcher's rank among all edges; that of a single edge until a core machine has reported it.
     EdgeShare edgeShare() const;
-    // The core machines that are known, with those that answered lately first.
+    // The known core machines, those that answered recently first.
     std::vector<NodeAddress> coreMachines() const;
-    // When a core machine last answered a renewal; nothing if none has yet.
+    // When a core machine last answered a renewal; nullopt if none has yet.
     std::optional<SteadyTime> lastContact() const;
 
 private:
--- a/src/cluster/control/distribution.cpp
+++ b/src/cluster/control/distribution.cpp
@@ -8,15 +8,15 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kLongestWait{5000};
-constexpr Millis kSweepInterval{100};  // watchers whose time is over within it are answered together
+constexpr Millis kMaxWait{5000};
+constexpr Millis kExpiryCheckInterval{100};  // watchers that expire within one interval are answered together
 constexpr unsigned kConfigPart = 1;
 constexpr unsigned kServersPart = 2;
 constexpr unsigned kViewPart = 4;
-constexpr unsigned kConfirmedParts = kConfigPart | kViewPart;  // told only with a confirmation
-// The rest is for leases, the register and the operator.
+constexpr unsigned kConfirmedParts = kConfigPart | kViewPart;  // sent only after a confirmation
+// The rest of the link is left to leases, the register and operator calls.
 constexpr double kShareOfLink = 0.5;
-constexpr Millis kBurst{100};
+constexpr Millis kBurstDuration{100};
 constexpr double kBytesPerMegabit = 1e6 / 8;
 
 }  // namespace
@@ -24,7 +24,7 @@
 Distribution::Distribution(Scheduler& scheduler, ConfirmationHooks hooks, double link_mbps)
     : scheduler_(scheduler),
       hooks_(std::move(hooks)),
-      link_(link_mbps * kBytesPerMegabit * kShareOfLink, kBurst) {}
+      send_budget_(link_mbps * kBytesPerMegabit * kShareOfLink, kBurstDuration) {}
 
 unsigned Distribution::newerParts(const WatchRequest& request) const {
     unsigned parts = 0;
@@ -55,27 +55,27 @@
 void Distribution::watch(const WatchRequest& request, Responder respond) {
     if (!hooks_.is_fresh()) return respond(Envelope{});
     const SteadyTime now = scheduler_.now();
-    const Millis wait = std::clamp(Millis(request.max_wait_ms), Millis(0), kLongestWait);
+    const Millis wait = std::clamp(Millis(request.max_wait_ms), Millis(0), kMaxWait);
     Watcher watcher{request, now, now + wait, std::move(respond)};
-    if (tell(watcher)) return;
+    if (tryAnswer(watcher)) return;
     watchers_.push_back(std::move(watcher));
-    armTimer();
-    if (unconfirmed_) hooks_.confirm();
+    armExpiryTimer();
+    if (needs_confirmation_) hooks_.confirm();
 }
 
-bool Distribution::mayBeTold(const Watcher& watcher, unsigned parts) const {
-    return (parts & kConfirmedParts) == 0 || hooks_.is_confirmed_since(watcher.since);
+bool Distribution::canAnswer(const Watcher& watcher, unsigned parts) const {
+    return (parts & kConfirmedParts) == 0 || hooks_.is_confirmed_since(watcher.received_at);
 }
 
-bool Distribution::tell(Watcher& watcher) {
+bool Distribution::tryAnswer(Watcher& watcher) {
     const unsigned newer = newerParts(watcher.request);
     if (newer == 0) return false;
-    if (!watcher.news_since) watcher.news_since = scheduler_.now();
-    if (!mayBeTold(watcher, newer)) {
-        unconfirmed_ = true;
+    if (!watcher.newer_since) watcher.newer_since = scheduler_.now();
+    if (!canAnswer(watcher, newer)) {
+        needs_confirmation_ = true;
         return false;
     }
-    const Millis pause = link_.timeUntilAvailable(scheduler_.now());
+    const Millis pause = send_budget_.timeUntilAvailable(scheduler_.now());
     if (pause > Millis(0)) {
         waitForLink(pause);
         return false;
@@ -86,14 +86,14 @@
 
 void Distribution::answer(const Watcher& watcher, unsigned parts) {
     const std::string& bytes = encoded(parts, watcher.request);
-    link_.spend(bytes.size());
-    count(parts, watcher.request, bytes.size());
-    const auto waited = std::chrono::floor<Millis>(scheduler_.now() - *watcher.news_since);
+    send_budget_.spend(bytes.size());
+    countAnswer(parts, watcher.request, bytes.size());
+    const auto waited = std::chrono::floor<Millis>(scheduler_.now() - *watcher.newer_since);
     counters_.longest_wait = std::max(counters_.longest_wait, waited);
     watcher.respond(Envelope{0, bytes});
 }
 
-void Distribution::count(unsigned parts, const WatchRequest& request, std::size_t bytes) {
+void Distribution::countAnswer(unsigned parts, const WatchRequest& request, std::size_t bytes) {
     if ((parts & kConfigPart) == 0) {
         counters_.other_bytes += bytes;
         return;
@@ -109,60 +109,62 @@
     if (link_timer_) return;
     link_timer_ = scheduler_.after(pause, [this] {
         link_timer_.reset();
-        tellAll();
+        answerWatchers();
     });
 }
 
-void Distribution::tellAll() {
-    unconfirmed_ = false;
-    std::erase_if(watchers_, [this](Watcher& watcher) { return tell(watcher); });
-    if (unconfirmed_) hooks_.confirm();
+void Distribution::answerWatchers() {
+    needs_confirmation_ = false;
+    std::erase_if(watchers_, [this](Watcher& watcher) { return tryAnswer(watcher); });
+    if (needs_confirmation_) hooks_.confirm();
 }
 
-void Distribution::confirmed() {
-    if (unconfirmed_) tellAll();
+void Distribution::onConfirmed() {
+    if (needs_confirmation_) answerWatchers();
 }
 
 void Distribution::setConfiguration(const ConfigurationState& state) {
-    if (configurations_.add(state)) changed();
+    if (configurations_.add(state)) onContentChanged();
 }
 
 void Distribution::setServers(ServerList servers) {
     if (servers_ && servers.version <= servers_->version) return;
     servers_ = std::move(servers);
-    changed();
+    onContentChanged();
 }
 
 void Distribution::setView(StoreView view) {
     const auto order = [](const StoreView& of) { return std::pair(of.epoch, of.leader_term); };
     if (view_ && order(view) <= order(*view_)) return;
     view_ = std::move(view);
-    changed();
+    onContentChanged();
 }
 
-void Distribution::changed() {
+void Distribution::onContentChanged() {
     encoded_.clear();
-    tellAll();
+    answerWatchers();
 }
 
-void Distribution::sweep() {
+void Distribution::answerExpired() {
     const SteadyTime now = scheduler_.now();
     const bool fresh = hooks_.is_fresh();
     std::erase_if(watchers_, [&](const Watcher& watcher) {
-        // That nothing is newer needs a confirmation too; it comes, or this machine is not fresh any more.
-        if (fresh && (watcher.until > now || !hooks_.is_confirmed_since(watcher.since))) return false;
+        // An answer without newer content needs a confirmation too. Either it arrives or this machine stops
+        // being fresh.
+        if (fresh && (watcher.deadline > now || !hooks_.is_confirmed_since(watcher.received_at)))
+            return false;
         watcher.respond(fresh ? Envelope{0, encoded(0, watcher.request)} : Envelope{});
         return true;
     });
 }
 
-void Distribution::armTimer() {
-    if (timer_armed_ || watchers_.empty()) return;
-    timer_armed_ = true;
-    timer_ = scheduler_.after(kSweepInterval, [this] {
-        timer_armed_ = false;
-        sweep();
-        armTimer();
+void Distribution::armExpiryTimer() {
+    if (expiry_timer_armed_ || watchers_.empty()) return;
+    expiry_timer_armed_ = true;
+    expiry_timer_ = scheduler_.after(kExpiryCheckInterval, [this] {
+        expiry_timer_armed_ = false;
+        answerExpired();
+        armExpiryTimer();
     });
 }
 
--- a/src/cluster/control/membership.cpp
+++ b/src/cluster/control/membership.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr Millis kForgetAfter{60000};
-constexpr Millis kPlaceKept{10000};  // of a dispatcher that is silent, among the others
-constexpr std::size_t kFormerKept = 8;
+constexpr Millis kEdgeRankRetention{10000};  // an edge counts for the ranks this long after its last renewal
+constexpr std::size_t kMaxFormerIncarnations = 8;
 
 }  // namespace
 
@@ -19,18 +19,21 @@
     const Member& now = request.member;
     const auto [place, added] = members_.try_emplace(now.name);
     MemberEntry& entry = place->second;
-    const auto& former = entry.former;
-    if (std::find(former.begin(), former.end(), now.incarnation) != former.end()) return;
+    const auto& former_incarnations = entry.former_incarnations;
+    if (std::find(former_incarnations.begin(), former_incarnations.end(), now.incarnation) !=
+        former_incarnations.end())
+        return;
     const bool restarted = !added && entry.member.incarnation != now.incarnation;
     if (restarted) {
-        entry.former.push_back(entry.member.incarnation);
-        if (entry.former.size() > kFormerKept) entry.former.erase(entry.former.begin());
+        entry.former_incarnations.push_back(entry.member.incarnation);
+        if (entry.former_incarnations.size() > kMaxFormerIncarnations)
+            entry.former_incarnations.erase(entry.former_incarnations.begin());
     }
     const bool was_leaving = !added && !restarted && entry.member.leaving;
     const bool begins_to_leave = now.leaving && !was_leaving;
     const bool disk_changed = !added && entry.member.disk_failed != now.disk_failed;
     entry.member = now;
-    entry.member.leaving = now.leaving || was_leaving;  // a late renewal doesn't take it back
+    entry.member.leaving = now.leaving || was_leaving;  // a late renewal does not cancel leaving
     entry.last_seen = scheduler_.now();
     entry.view_epoch = request.view_epoch;
     entry.config_generation = request.config_generation;
@@ -72,8 +75,8 @@
     const auto place = [](const Member& member) { return std::tie(member.zone, member.name); };
     EdgeShare share{0, 0, 0};
     for (const auto& [name, entry] : members_) {
-        const bool heard_lately = scheduler_.now() - entry.last_seen <= kPlaceKept;
-        if (entry.member.kind != NodeKind::edge || !heard_lately || entry.member.leaving) continue;
+        const bool seen_recently = scheduler_.now() - entry.last_seen <= kEdgeRankRetention;
+        if (entry.member.kind != NodeKind::edge || !seen_recently || entry.member.leaving) continue;
         ++share.edges;
         if (topology.between(entry.member.zone, edge.zone) == Distance::other_region) continue;
         ++share.region_edges;
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -13,7 +13,7 @@
 #include "cluster/common/codec.hpp"
 #include "cluster/common/configuration.hpp"
 #include "cluster/control/configuration_reader.hpp"
-#include "cluster/control/operator_answers.hpp"
+#include "cluster/control/operator_responses.hpp"
 #include "cluster/control/register_values.hpp"
 #include "cluster/control/store_view.hpp"
 
@@ -42,22 +42,22 @@
 HttpResponse answerOf(ReplaceVerdict verdict) {
     switch (verdict) {
         case ReplaceVerdict::taken:
-            return textAnswer(200, "taken");
+            return textResponse(200, "taken");
         case ReplaceVerdict::other_base:
-            return textAnswer(412, "Base-Version is not the current version");
+            return textResponse(412, "Base-Version is not the current version");
         case ReplaceVerdict::generation_too_low:
-            return textAnswer(400, "generation: must be above the one it builds on");
+            return textResponse(400, "generation: must be above the one it builds on");
         case ReplaceVerdict::forgotten:
-            return textAnswer(503, "too old to tell whether it was taken; the outcome is not known");
+            return textResponse(503, "too old to tell whether it was taken; the outcome is not known");
         case ReplaceVerdict::too_large:
-            return textAnswer(413, kTooLarge);
+            return textResponse(413, kTooLarge);
         case ReplaceVerdict::unreadable:
             break;
     }
-    return unreadableValue(kConfigurationName);
+    return unreadableValueResponse(kConfigurationName);
 }
 
-// The same state always gives the same size, so a state that is refused here was never written before.
+// The encoded size depends only on the state, so a state rejected here can't have been written earlier.
 Decision writeIfFits(const ConfigurationState& next, ReplaceVerdict& verdict) {
     std::string value = encodeConfigurationState(next);
     if (value.size() <= kMaxConfigurationValueBytes) return Decision::replaceBy(std::move(value));
@@ -83,7 +83,7 @@
     ReplaceDecision decision{ReplaceVerdict::taken, true, {change.generation, body, current.taken}};
     std::vector<TakenChange>& taken = decision.next.taken;
     taken.push_back(change);
-    if (taken.size() > kTakenKept) taken.erase(taken.begin(), taken.end() - kTakenKept);
+    if (taken.size() > kMaxTakenChanges) taken.erase(taken.begin(), taken.end() - kMaxTakenChanges);
     return decision;
 }
 
@@ -96,25 +96,25 @@
     const bool is_post = request.method == "POST";
     if (is_post && path == kReplacePath) return replaceConfiguration(request, std::move(respond));
     if (is_get && path == kReadPath) return readNewest(std::move(respond));
-    if (is_get && path == kStatusPath) return respond(jsonAnswer(hooks_.status()));
+    if (is_get && path == kStatusPath) return respond(jsonResponse(hooks_.status()));
     if (is_post && path.starts_with(kRetireStartPath)) {
         return startRetirement(path.substr(kRetireStartPath.size()), std::move(respond));
     }
     if (is_get && path.starts_with(kRetireReadPath))
         return readRetirement(path.substr(kRetireReadPath.size()), std::move(respond));
-    respond(textAnswer(404, "no such call"));
+    respond(textResponse(404, "no such call"));
 }
 
 void OperatorApi::replaceConfiguration(const HttpRequest& request, HttpResponder respond) {
-    if (request.body.size() > kMaxOperatorBodyBytes) return respond(textAnswer(413, kTooLarge));
+    if (request.body.size() > kMaxOperatorBodyBytes) return respond(textResponse(413, kTooLarge));
     const std::optional<std::int64_t> base = parseVersion(headerValue(request.headers, "Base-Version"));
-    if (!base) return respond(textAnswer(400, "Base-Version: must be a whole number, 0 or more"));
+    if (!base) return respond(textResponse(400, "Base-Version: must be a whole number, 0 or more"));
     TakenChange change;
     try {
         change.generation = parseConfiguration(request.body).generation;
     } catch (const ConfigurationError& error) {
-        LOG(INFO) << "a configuration on version " << *base << " is refused: " << error.what();
-        return respond(textAnswer(400, error.what()));
+        LOG(INFO) << "rejected a configuration based on version " << *base << ": " << error.what();
+        return respond(textResponse(400, error.what()));
     }
     change.base = *base;
     change.digest = XXH64(request.body.data(), request.body.size(), 0);
@@ -131,9 +131,9 @@
         return decision.write ? writeIfFits(decision.next, *verdict) : Decision::keep();
     };
     const auto done = [this, change, verdict, respond = std::move(respond)](const ChangeOutcome& outcome) {
-        HttpResponse answer = outcome.known ? answerOf(*verdict) : unknownOutcome();
-        LOG(INFO) << "configuration " << change.generation << " on " << change.base << ": " << answer.status
-                  << ' ' << answer.body;
+        HttpResponse answer = outcome.known ? answerOf(*verdict) : unknownOutcomeResponse();
+        LOG(INFO) << "configuration " << change.generation << " based on " << change.base << ": "
+                  << answer.status << ' ' << answer.body;
         respond(std::move(answer));
     };
     proposer_.change(kConfigKey, decide, ChangeOptions{.timeout = kReplaceTimeout}, lifetime_.guard(done));
@@ -141,7 +141,7 @@
 
 void OperatorApi::readNewest(HttpResponder respond) {
     const auto done = [respond = std::move(respond)](ReadConfigurationReply reading) {
-        respond(responseOf(std::move(reading)));
+        respond(toHttpResponse(std::move(reading)));
     };
     readConfiguration(proposer_, lifetime_.guard(done));
 }
@@ -160,12 +160,12 @@
     };
     const auto done = [this, verdict, readable, node,
                        respond = std::move(respond)](const ChangeOutcome& outcome) {
-        if (!outcome.known) return respond(unknownOutcome());
-        if (!*readable) return respond(unreadableValue(kViewName));
-        if (*verdict == RetireVerdict::ordered) return respond(textAnswer(200, "ordered"));
+        if (!outcome.known) return respond(unknownOutcomeResponse());
+        if (!*readable) return respond(unreadableValueResponse(kViewName));
+        if (*verdict == RetireVerdict::ordered) return respond(textResponse(200, "ordered"));
         const bool exists = *verdict == RetireVerdict::too_few_left || hooks_.is_store(node);
-        if (!exists) return respond(textAnswer(404, "there is no such storage machine"));
-        respond(textAnswer(409, "too few storage machines would be left"));
+        if (!exists) return respond(textResponse(404, "there is no such storage machine"));
+        respond(textResponse(409, "too few storage machines would be left"));
     };
     proposer_.change(kViewKey, decide, ChangeOptions{.timeout = kReplaceTimeout}, lifetime_.guard(done));
 }
@@ -173,13 +173,13 @@
 void OperatorApi::readRetirement(const std::string& node, HttpResponder respond) {
     const auto keep = [](const std::string&) { return Decision::keep(); };
     const auto done = [node, respond = std::move(respond)](const ChangeOutcome& outcome) {
-        if (!outcome.known) return respond(unknownOutcome());
+        if (!outcome.known) return respond(unknownOutcomeResponse());
         const std::optional<StoreView> view = readStoreView(outcome.value);
-        if (!view) return respond(unreadableValue(kViewName));
+        if (!view) return respond(unreadableValueResponse(kViewName));
         const RetirePhase phase = retirePhase(*view, node);
-        if (phase == RetirePhase::none) return respond(textAnswer(404, "no such machine is being retired"));
-        respond(jsonAnswer(phase == RetirePhase::completed ? R"({"phase":"completed"})"
-                                                           : R"({"phase":"in_progress"})"));
+        if (phase == RetirePhase::none) return respond(textResponse(404, "no such machine is being retired"));
+        respond(jsonResponse(phase == RetirePhase::completed ? R"({"phase":"completed"})"
+                                                             : R"({"phase":"in_progress"})"));
     };
     proposer_.change(kViewKey, keep, ChangeOptions{.timeout = kReadTimeout}, lifetime_.guard(done));
 }
--- a/src/cluster/control/peering_progress.hpp
+++ b/src/cluster/control/peering_progress.hpp
@@ -1,4 +1,5 @@
-// Asks the owners of the store view, on the leader, whether they have peered all their partitions in it.
+// Used by the leader to poll partition owners for whether they have peered all their partitions in the
+// current view.
 #pragma once
 
 #include <set>
@@ -11,25 +12,27 @@
 
 namespace amberswitch::cluster {
 
+// Tracks one view at a time: a view with another epoch discards the results so far.
 class PeeringProgress {
 public:
     PeeringProgress(Scheduler& scheduler, Transport& transport)
         : scheduler_(scheduler), transport_(transport) {}
 
-    // Asks those owners that have not said so yet; call it as long as the answer is of interest.
-    void ask(const StoreView& view);
-    // Every partition of the view has an owner, which has peered it in that view.
+    // Polls the owners that have not reported completion yet, every 250 ms at most. Call it for as long as
+    // the result is needed.
+    void poll(const StoreView& view);
+    // Whether every partition of the view has an owner that reported peering as done in that view.
     bool isPeered(const StoreView& view) const;
 
 private:
-    void askOwner(const StoreMember& owner, Epoch epoch);
+    void pollOwner(const StoreMember& owner, Epoch epoch);
 
     Scheduler& scheduler_;
     Transport& transport_;
     Epoch epoch_ = 0;
-    std::set<std::string> done_;       // owners of that epoch
-    std::set<std::string> under_way_;  // asked, without an answer yet
-    SteadyTime next_{};
+    std::set<std::string> peered_owners_;   // in that epoch
+    std::set<std::string> pending_owners_;  // polled, reply outstanding
+    SteadyTime next_poll_at_{};
     Lifetime lifetime_;
 };
 
--- a/src/cluster/control/server_poller.cpp
+++ b/src/cluster/control/server_poller.cpp
@@ -17,9 +17,9 @@
 
 constexpr Millis kPollInterval{500};
 constexpr Millis kCallTimeout{800};
-constexpr Millis kFirstBackoff{125};
-constexpr Millis kLongestBackoff{1000};
-constexpr double kRateShare = 0.25;  // of the calls that the platform takes
+constexpr Millis kMinBackoff{125};
+constexpr Millis kMaxBackoff{1000};
+constexpr double kRateLimitShare = 0.25;  // of the rate limit of the platform API
 constexpr std::size_t kMaxPages = 1000;
 constexpr int kOk = 200;
 
@@ -80,7 +80,7 @@
     return parsed;
 }
 
-// The time of warming up runs down by itself and is no change.
+// The remaining warm-up time decreases by itself and does not count as a change.
 bool isSameServer(const ServerEntry& left, const ServerEntry& right) {
     const auto key = [](const ServerEntry& server) {
         return std::tie(server.uid, server.service, server.address, server.zone, server.capacity,
@@ -102,7 +102,7 @@
     try {
         return parsePage(document);
     } catch (const std::invalid_argument& error) {
-        LOG_EVERY_N(WARNING, 100) << "list of servers: " << error.what();
+        LOG_EVERY_N(WARNING, 100) << "invalid page of the server list: " << error.what();
         return std::nullopt;
     }
 }
@@ -111,12 +111,12 @@
     constexpr std::string_view kHex = "0123456789ABCDEF";
     constexpr std::string_view kPlain = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~";
     std::string encoded;
-    for (const char letter : text) {
-        if (kPlain.find(letter) != std::string_view::npos) {
-            encoded += letter;
+    for (const char character : text) {
+        if (kPlain.find(character) != std::string_view::npos) {
+            encoded += character;
             continue;
         }
-        const auto byte = static_cast<unsigned char>(letter);
+        const auto byte = static_cast<unsigned char>(character);
         encoded += {'%', kHex[byte >> 4], kHex[byte & 15]};
     }
     return encoded;
@@ -127,14 +127,14 @@
 
 void ServerPoller::start(std::uint64_t term) {
     term_ = term;
-    count_ = 0;
+    published_count_ = 0;
     backoff_ = Millis(0);
-    beginList();
+    startPoll();
 }
 
-void ServerPoller::beginList() {
-    ++poll_;
-    pages_ = 0;
+void ServerPoller::startPoll() {
+    ++poll_serial_;
+    pages_read_ = 0;
     servers_.clear();
     if (hooks_.may_poll()) readPage({});
 }
@@ -146,44 +146,45 @@
     call.request.target = token.empty() ? "/instances" : "/instances?pageToken=" + percentEncode(token);
     call.request.headers.push_back({"Host", cloud_.address.text()});
     call.timeout = kCallTimeout;
-    ++pages_;
-    http_.send(std::move(call),
-               lifetime_.guard([this, poll = poll_](const HttpOutcome& outcome) { onPage(poll, outcome); }));
+    ++pages_read_;
+    http_.send(std::move(call), lifetime_.guard([this, poll = poll_serial_](const HttpOutcome& outcome) {
+        onPage(poll, outcome);
+    }));
 }
 
 void ServerPoller::onPage(std::uint64_t poll, const HttpOutcome& outcome) {
-    if (poll != poll_ || !hooks_.may_poll()) return;
+    if (poll != poll_serial_ || !hooks_.may_poll()) return;
     if (outcome.verdict != Verdict::answered || outcome.response.status != kOk) return onFailure();
     std::optional<InstancePage> page = parseInstancePage(outcome.response.body);
     if (!page) return onFailure();
     std::move(page->servers.begin(), page->servers.end(), std::back_inserter(servers_));
-    if (page->next_token.empty()) return onList();
-    if (pages_ >= kMaxPages) return onFailure();
+    if (page->next_token.empty()) return onListComplete();
+    if (pages_read_ >= kMaxPages) return onFailure();
     readPage(page->next_token);
 }
 
-void ServerPoller::onList() {
+void ServerPoller::onListComplete() {
     backoff_ = Millis(0);
     std::sort(servers_.begin(), servers_.end());
     const ServerList* known = hooks_.published();
     checkInvariant(Invariant::leader_has_newest_term, known == nullptr || known->version.term <= term_,
                    "list of servers");
     if (known == nullptr || !isSameList(known->servers, servers_)) {
-        ServerList list{{term_, ++count_}, std::move(servers_)};
+        ServerList list{{term_, ++published_count_}, std::move(servers_)};
         hooks_.publish(std::move(list));
     }
-    const double calls_per_s = std::max(0.1, cloud_.rate_per_s * kRateShare);
-    const Millis affordable{std::llround(1000.0 * static_cast<double>(pages_) / calls_per_s)};
-    waitThenPoll(std::max(kPollInterval, affordable));
+    const double calls_per_s = std::max(0.1, cloud_.rate_per_s * kRateLimitShare);
+    const Millis affordable{std::llround(1000.0 * static_cast<double>(pages_read_) / calls_per_s)};
+    schedulePoll(std::max(kPollInterval, affordable));
 }
 
 void ServerPoller::onFailure() {
-    backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kLongestBackoff);
-    waitThenPoll(backoff_);
+    backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
+    schedulePoll(backoff_);
 }
 
-void ServerPoller::waitThenPoll(Millis pause) {
-    timer_ = scheduler_.after(pause, [this] { beginList(); });
+void ServerPoller::schedulePoll(Millis pause) {
+    timer_ = scheduler_.after(pause, [this] { startPoll(); });
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/control/server_relay.cpp
+++ b/src/cluster/control/server_relay.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kMaxWait{1000};
 constexpr Millis kCallTimeout{1400};
 constexpr Millis kNoLeaderPause{100};
-constexpr Millis kNextPause{5};  // bounds the rate, whatever the leader answers
+constexpr Millis kPollPause{5};  // limits the rate when the leader answers immediately
 
 }  // namespace
 
@@ -27,7 +27,8 @@
     if (!leader) return pollAfter(kNoLeaderPause);
     WatchRequest request;
     request.name = name_;
-    // Configuration and view come by the register: here only the list is wanted.
+    // Core machines get the configuration and the view from the register; only the server list is requested
+    // here.
     request.config_generation = std::numeric_limits<std::int64_t>::max();
     request.view_epoch = std::numeric_limits<Epoch>::max();
     request.servers = hooks_.known();
@@ -35,7 +36,7 @@
     const auto done = [this](std::optional<WatchReply> reply) {
         if (!reply) return pollAfter(kNoLeaderPause);
         if (reply->servers) hooks_.learn(std::move(*reply->servers));
-        pollAfter(kNextPause);
+        pollAfter(kPollPause);
     };
     callFor<WatchReply>(transport_, *leader, MessageKind::watch, request, kCallTimeout,
                         lifetime_.guard(done));
--- a/src/cluster/control/server_relay.hpp
+++ b/src/cluster/control/server_relay.hpp
@@ -1,4 +1,4 @@
-// Brings the leader's list of servers to a core machine that does not lead, by long polls.
+// Copies the leader's server list to a core machine that is not the leader, by long polls.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,13 @@
 
 namespace amberswitch::cluster {
 
+// Polls until it is destroyed.
 class ServerRelay {
 public:
     struct Hooks {
-        std::function<std::optional<NodeAddress>()> leader;  // nothing: unknown, or this machine
-        std::function<ServerListVersion()> known;
-        std::function<void(ServerList)> learn;
+        std::function<std::optional<NodeAddress>()> leader;  // nullopt if unknown or this machine
+        std::function<ServerListVersion()> known;            // version of the local list
+        std::function<void(ServerList)> learn;               // receives a newer list
     };
 
     ServerRelay(Scheduler& scheduler, Transport& transport, std::string name, Hooks hooks);
--- a/src/cluster/control/store_view.cpp
+++ b/src/cluster/control/store_view.cpp
@@ -9,16 +9,16 @@
 namespace amberswitch::cluster {
 namespace {
 
-// How the process that a store had in the view before stands now.
-enum class OldProcess : std::uint8_t { same, stopped, maybe_running };
+// State of the process that a store had in the current view.
+enum class PreviousProcess : std::uint8_t { same, stopped, maybe_running };
 
-constexpr std::size_t kRetiredKept = 64;
-constexpr std::size_t kSteps = 3;  // in which a store that joins is given its share
+constexpr std::size_t kMaxRetiredStores = 64;
+constexpr std::size_t kJoinSteps = 3;  // number of views in which a new store gets its share
 
 struct StoreChange {
     std::vector<StoreMember> stores;
-    std::vector<OldProcess> old;             // by index; the new stores of the view have none
-    std::vector<std::int32_t> place_before;  // by index in the view before: the index here, -1 where dropped
+    std::vector<PreviousProcess> previous_processes;  // by index in `stores`
+    std::vector<std::int32_t> new_index;  // by index in the current view: index in `stores`, -1 if removed
     std::vector<RetiredStore> retired;
     bool changed = false;
     bool joined = false;
@@ -28,32 +28,33 @@
     return XXH64(store.data(), store.size(), partition);
 }
 
-bool mayOwn(const StoreMember& store) {
+bool isEligibleOwner(const StoreMember& store) {
     return store.keepsCopies();
 }
 
-std::size_t countOfKeepers(const std::vector<StoreMember>& stores) {
-    return static_cast<std::size_t>(std::count_if(stores.begin(), stores.end(), mayOwn));
+std::size_t countEligibleOwners(const std::vector<StoreMember>& stores) {
+    return static_cast<std::size_t>(std::count_if(stores.begin(), stores.end(), isEligibleOwner));
 }
 
 void observe(StoreChange& change, std::size_t index, const StoreObservation& seen) {
     StoreMember& store = change.stores[index];
-    OldProcess& old = change.old[index];
-    const bool usable = !seen.silent && !seen.member.disk_failed;
+    PreviousProcess& previous_process = change.previous_processes[index];
+    const bool usable = !seen.timed_out && !seen.member.disk_failed;
     if (seen.member.incarnation != store.member.incarnation) {
-        // A leaving or silent new process never served; the old one is gone in any case.
+        // A new process that is leaving or timed out never owned a partition. The old process has stopped in
+        // any case.
         store.member = seen.member;
         store.alive = !seen.member.leaving && usable;
-        old = OldProcess::stopped;
+        previous_process = PreviousProcess::stopped;
         change.changed = true;
         return;
     }
     const bool leaving = seen.member.leaving || store.member.leaving;
     const bool alive = !leaving && usable;
     if (leaving)
-        old = OldProcess::stopped;
+        previous_process = PreviousProcess::stopped;
     else if (!alive)
-        old = OldProcess::maybe_running;
+        previous_process = PreviousProcess::maybe_running;
     const bool same_disk = seen.member.disk_failed == store.member.disk_failed;
     if (alive == store.alive && leaving == store.member.leaving && same_disk) return;
     store.alive = alive;
@@ -62,7 +63,8 @@
     change.changed = true;
 }
 
-// A retired machine is about to be removed: neither its last process nor another one on its disk comes back.
+// A retired machine is about to be decommissioned, so neither its last process nor a new one on the same disk
+// may join.
 bool hasRetired(const StoreView& view, const Member& member) {
     return std::any_of(view.retired.begin(), view.retired.end(), [&](const RetiredStore& retired) {
         return retired.name == member.name &&
@@ -72,7 +74,7 @@
 
 bool mayJoin(const StoreView& current, const StoreObservation& seen) {
     const Member& member = seen.member;
-    return !member.leaving && !member.disk_failed && !seen.silent && !hasRetired(current, member);
+    return !member.leaving && !member.disk_failed && !seen.timed_out && !hasRetired(current, member);
 }
 
 void join(StoreChange& change, const StoreView& current, const Member& member) {
@@ -81,22 +83,22 @@
     store.joined_epoch = current.stores.empty() ? 0 : current.epoch + 1;
     store.joined_incarnation = member.incarnation;
     change.stores.push_back(std::move(store));
-    change.old.push_back(OldProcess::same);
+    change.previous_processes.push_back(PreviousProcess::same);
     change.changed = true;
     change.joined = true;
 }
 
-bool isNamed(const std::vector<std::string>& names, const StoreMember& store) {
+bool containsName(const std::vector<std::string>& names, const StoreMember& store) {
     return std::find(names.begin(), names.end(), store.member.name) != names.end();
 }
 
-void noteRetired(std::vector<RetiredStore>& retired, const StoreMember& store) {
+void recordRetired(std::vector<RetiredStore>& retired, const StoreMember& store) {
     std::erase_if(retired, [&](const RetiredStore& known) { return known.name == store.member.name; });
     retired.push_back({store.member.name, store.member.incarnation});
-    if (retired.size() > kRetiredKept) retired.erase(retired.begin());
+    if (retired.size() > kMaxRetiredStores) retired.erase(retired.begin());
 }
 
-void noteAbsences(StoreChange& change, const StoreView& current) {
+void recordAbsences(StoreChange& change, const StoreView& current) {
     for (std::size_t index = 0; index < current.stores.size(); ++index) {
         StoreMember& store = change.stores[index];
         if (store.alive) store.away_epoch = 0;
@@ -104,42 +106,44 @@
     }
 }
 
-// Removes the stores on which nothing that counts stands any more.
-void dropStores(StoreChange& change, const StoreView& current, const ViewRules& rules) {
-    const bool may_drop_away = countOfKeepers(current.stores) >= 2 * std::size_t{current.tolerated} + 1;
+// Removes the stores that hold no needed copies: retiring ones, and those that are unavailable for long.
+void removeStores(StoreChange& change, const StoreView& current, const ViewRules& rules) {
+    const bool may_remove_unavailable =
+        countEligibleOwners(current.stores) >= 2 * std::size_t{current.tolerated} + 1;
     for (std::size_t index = 0; index < current.stores.size(); ++index) {
         const StoreMember& before = current.stores[index];
-        // Peering was done without it only if it was so in the present view.
-        const bool is_away = !before.alive && !change.stores[index].alive;
-        const bool drop_away = may_drop_away && is_away && isNamed(rules.long_away, before);
-        if (!before.retiring && !drop_away) continue;
-        if (before.retire_ordered) noteRetired(change.retired, before);
-        change.place_before[index] = -1;
+        // Peering excluded the store only if it was already unavailable in the current view.
+        const bool is_unavailable = !before.alive && !change.stores[index].alive;
+        const bool remove_unavailable =
+            may_remove_unavailable && is_unavailable && containsName(rules.long_unavailable, before);
+        if (!before.retiring && !remove_unavailable) continue;
+        if (before.retire_ordered) recordRetired(change.retired, before);
+        change.new_index[index] = -1;
         change.changed = true;
     }
     std::size_t kept = 0;
     for (std::size_t index = 0; index < change.stores.size(); ++index) {
-        if (index < change.place_before.size()) {
-            if (change.place_before[index] < 0) continue;
-            change.place_before[index] = static_cast<std::int32_t>(kept);
+        if (index < change.new_index.size()) {
+            if (change.new_index[index] < 0) continue;
+            change.new_index[index] = static_cast<std::int32_t>(kept);
         }
         if (kept != index) {
             change.stores[kept] = std::move(change.stores[index]);
-            change.old[kept] = change.old[index];
+            change.previous_processes[kept] = change.previous_processes[index];
         }
         ++kept;
     }
     change.stores.resize(kept);
-    change.old.resize(kept);
+    change.previous_processes.resize(kept);
 }
 
-StoreChange changeOfStores(const StoreView& current, const std::vector<StoreObservation>& observed,
-                           const ViewRules& rules) {
+StoreChange computeStoreChange(const StoreView& current, const std::vector<StoreObservation>& observed,
+                               const ViewRules& rules) {
     StoreChange change;
     change.stores = current.stores;
-    change.old.assign(current.stores.size(), OldProcess::same);
-    change.place_before.resize(current.stores.size());
-    std::iota(change.place_before.begin(), change.place_before.end(), 0);
+    change.previous_processes.assign(current.stores.size(), PreviousProcess::same);
+    change.new_index.resize(current.stores.size());
+    std::iota(change.new_index.begin(), change.new_index.end(), 0);
     change.retired = current.retired;
     for (const StoreObservation& seen : observed) {
         const auto known =
@@ -156,26 +160,26 @@
         store.retiring = true;
         change.changed = true;
     }
-    noteAbsences(change, current);
-    if (rules.peered) dropStores(change, current, rules);
+    recordAbsences(change, current);
+    if (rules.peered) removeStores(change, current, rules);
     return change;
 }
 
-// Shares out the partitions: -1 where no store may own any.
+// Assigns the partitions to stores; the owner is -1 if no store is eligible.
 class OwnerAssignment {
 public:
     OwnerAssignment(const std::vector<StoreMember>& stores, bool gradually)
         : stores_(stores), counts_(stores.size(), 0), gradually_(gradually) {
-        const std::size_t keepers = countOfKeepers(stores);
-        if (keepers > 0) cap_ = (kPartitionCount + keepers - 1) / keepers;
+        const std::size_t eligible = countEligibleOwners(stores);
+        if (eligible > 0) cap_ = (kPartitionCount + eligible - 1) / eligible;
     }
 
-    // `before`: by partition, -1 where its owner is not in the view any more.
+    // `before`: owner by partition, -1 if it is no longer in the view.
     std::vector<std::int32_t> run(const std::vector<std::int32_t>& before) {
         std::vector<std::int32_t> owners(kPartitionCount, -1);
         keepOwners(owners, before, true);
         keepOwners(owners, before, false);
-        if (gradually_) keepMore(owners, before);
+        if (gradually_) keepAboveCap(owners, before);
         for (PartitionId partition = 0; partition < kPartitionCount; ++partition) {
             if (owners[partition] < 0) owners[partition] = firstWithRoom(partition);
         }
@@ -183,24 +187,25 @@
     }
 
 private:
-    // First those that their rendezvous order prefers, then the others.
+    // Keeps owners up to their even share. Called first for owners that rendezvous order prefers, then for
+    // the others.
     void keepOwners(std::vector<std::int32_t>& owners, const std::vector<std::int32_t>& before,
                     bool preferred) {
         for (PartitionId partition = 0; partition < before.size(); ++partition) {
             const std::int32_t owner = before[partition];
             if (owner < 0 || owners[partition] >= 0 || !hasRoom(static_cast<std::size_t>(owner))) continue;
-            if (preferred && firstKeeper(partition) != owner) continue;
+            if (preferred && firstEligible(partition) != owner) continue;
             take(owners, partition, owner);
         }
     }
-    // Owners keep for now what they have above their even share and above the moves allowed.
-    void keepMore(std::vector<std::int32_t>& owners, const std::vector<std::int32_t>& before) {
-        const std::size_t most_moves = (cap_ + kSteps - 1) / kSteps;
+    // Owners above their even share keep the partitions that exceed the number of moves allowed in this view.
+    void keepAboveCap(std::vector<std::int32_t>& owners, const std::vector<std::int32_t>& before) {
+        const std::size_t most_moves = (cap_ + kJoinSteps - 1) / kJoinSteps;
         std::size_t moves = 0;
         for (PartitionId partition = 0; partition < before.size(); ++partition) {
             const std::int32_t owner = before[partition];
             if (owner < 0 || owners[partition] >= 0) continue;
-            if (!mayOwn(stores_[static_cast<std::size_t>(owner)]) || moves++ < most_moves) continue;
+            if (!isEligibleOwner(stores_[static_cast<std::size_t>(owner)]) || moves++ < most_moves) continue;
             take(owners, partition, owner);
         }
     }
@@ -208,10 +213,10 @@
         owners[partition] = owner;
         ++counts_[static_cast<std::size_t>(owner)];
     }
-    bool hasRoom(std::size_t store) const { return mayOwn(stores_[store]) && counts_[store] < cap_; }
-    std::int32_t firstKeeper(PartitionId partition) const {
+    bool hasRoom(std::size_t store) const { return isEligibleOwner(stores_[store]) && counts_[store] < cap_; }
+    std::int32_t firstEligible(PartitionId partition) const {
         for (const std::size_t store : rendezvousOrder(partition, stores_)) {
-            if (mayOwn(stores_[store])) return static_cast<std::int32_t>(store);
+            if (isEligibleOwner(stores_[store])) return static_cast<std::int32_t>(store);
         }
         return -1;
     }
@@ -230,8 +235,9 @@
     std::size_t cap_ = 0;
 };
 
-// The owners of the view before, as places in the new one.
-std::vector<std::int32_t> ownersBefore(const StoreView& current, const std::vector<std::int32_t>& places) {
+// The current owners, as indices in the new view.
+std::vector<std::int32_t> mapPreviousOwners(const StoreView& current,
+                                            const std::vector<std::int32_t>& places) {
     std::vector<std::int32_t> before(kPartitionCount, -1);
     for (std::size_t partition = 0; partition < std::min(kPartitionCount, current.partitions.size());
          ++partition) {
@@ -248,19 +254,20 @@
     return OwnerAssignment(view.stores, false).run(before) != before;
 }
 
-// `before`: the owner so far as a place in the new view; `doubtful`: an earlier one may still run.
-PartitionOwner ownerAfter(std::int32_t before, std::int32_t owner, const std::vector<OldProcess>& old,
-                          bool doubtful) {
+// `before`: the current owner as an index in the new view; `may_have_older_owner`: an owner before it may
+// still run.
+PartitionOwner nextOwner(std::int32_t before, std::int32_t owner,
+                         const std::vector<PreviousProcess>& previous_processes, bool may_have_older_owner) {
     PartitionOwner next;
     next.owner = owner;
     next.previous = before;
     bool owner_stopped = true;
     if (before >= 0) {
-        const OldProcess process = old[static_cast<std::size_t>(before)];
-        const bool stays = owner == before && process == OldProcess::same;
-        owner_stopped = stays || process == OldProcess::stopped;
+        const PreviousProcess process = previous_processes[static_cast<std::size_t>(before)];
+        const bool stays = owner == before && process == PreviousProcess::same;
+        owner_stopped = stays || process == PreviousProcess::stopped;
     }
-    next.previous_stopped = owner_stopped && !doubtful;
+    next.previous_stopped = owner_stopped && !may_have_older_owner;
     return next;
 }
 
@@ -281,31 +288,34 @@
 
 std::optional<StoreView> nextView(const StoreView& current, const std::vector<StoreObservation>& observed,
                                   const ViewRules& rules) {
-    StoreChange change = changeOfStores(current, observed, rules);
-    const bool evens_out = !change.changed && rules.may_even_out && rules.peered && hasUnevenShares(current);
-    if (!change.changed && !evens_out) return std::nullopt;
+    StoreChange change = computeStoreChange(current, observed, rules);
+    const bool rebalances =
+        !change.changed && rules.may_rebalance && rules.peered && hasUnevenShares(current);
+    if (!change.changed && !rebalances) return std::nullopt;
     StoreView next = current;
     next.epoch = current.epoch + 1;
     next.stores = std::move(change.stores);
     next.retired = std::move(change.retired);
-    const bool gradually = rules.moves_gradually && (change.joined || evens_out);
-    const std::vector<std::int32_t> before = ownersBefore(current, change.place_before);
+    const bool gradually = rules.moves_gradually && (change.joined || rebalances);
+    const std::vector<std::int32_t> before = mapPreviousOwners(current, change.new_index);
     OwnerAssignment assignment(next.stores, gradually);
     const std::vector<std::int32_t> owners = assignment.run(before);
     next.partitions.assign(kPartitionCount, PartitionOwner{});
     for (std::size_t partition = 0; partition < kPartitionCount; ++partition) {
         const bool known = partition < current.partitions.size();
-        const bool doubtful = known && !current.partitions[partition].previous_stopped && !rules.settled;
-        next.partitions[partition] = ownerAfter(before[partition], owners[partition], change.old, doubtful);
+        const bool may_have_older_owner =
+            known && !current.partitions[partition].previous_stopped && !rules.old_owners_stopped;
+        next.partitions[partition] =
+            nextOwner(before[partition], owners[partition], change.previous_processes, may_have_older_owner);
     }
     return next;
 }
 
-bool waitsForPeering(const StoreView& view) {
-    const bool has_goer = std::any_of(view.stores.begin(), view.stores.end(), [](const StoreMember& store) {
-        return store.retiring || !store.alive;
-    });
-    return has_goer || hasUnevenShares(view);
+bool needsPeeringProgress(const StoreView& view) {
+    const bool has_departing_store =
+        std::any_of(view.stores.begin(), view.stores.end(),
+                    [](const StoreMember& store) { return store.retiring || !store.alive; });
+    return has_departing_store || hasUnevenShares(view);
 }
 
 RetireVerdict orderRetirement(StoreView& view, const std::string& name) {
--- a/src/cluster/control/store_view.hpp
+++ b/src/cluster/control/store_view.hpp
@@ -1,5 +1,4 @@
-// The store view as plain functions: which store owns which partition, and the view that follows a change
-// among the stores.
+// Pure functions on the store view: partition ownership, and the next view after the stores have changed.
 #pragma once
 
 #include <cstddef>
@@ -14,44 +13,47 @@
 
 inline constexpr std::size_t kPartitionCount = 24;
 
-// What the leader knows of a store now.
+// What the leader currently knows about a store.
 struct StoreObservation {
     Member member;
-    bool silent = false;  // has not renewed its lease for so long that it counts as gone
+    bool timed_out = false;  // its last lease renewal is too old, so it counts as unavailable
 };
 
-// What became of an order to retire a store.
+// Result of an order to retire a store.
 enum class RetireVerdict : std::uint8_t { ordered, unknown_store, too_few_left };
 enum class RetirePhase : std::uint8_t { none, in_progress, completed };
 
-// Indices of all stores, the preferred owner of the partition first.
+// Indices of all stores in rendezvous-hashing order, the preferred owner of the partition first.
 std::vector<std::size_t> rendezvousOrder(PartitionId partition, const std::vector<StoreMember>& stores);
 
+// Conditions that limit which changes nextView() makes.
 struct ViewRules {
-    // No partition changed hands lately with an owner that may still run: earlier doubts are settled.
-    bool settled = false;
-    // Every partition has been peered in the present view: what counts stands on tolerated + 1 stores that
-    // are alive and not retiring. Others may be dropped, and shares may be evened out.
+    // The grants of all owners replaced in earlier views have expired, so `previous_stopped = false` of an
+    // earlier change need not be carried over.
+    bool old_owners_stopped = false;
+    // Every partition has been peered in the current view: acknowledged data is on tolerated + 1 stores that
+    // are alive and not retiring. Other stores may be removed, and partitions may be rebalanced.
     bool peered = false;
-    // Stores that have been away for long enough to be dropped.
-    std::vector<std::string> long_away = {};
-    // Whether partitions may go on moving towards even shares where no store has changed.
-    bool may_even_out = false;
-    // Where a store has joined or shares are evened out: at most a third of an even share moves at once from
-    // owners that could go on.
+    // Names of the stores that have been unavailable for long enough to be removed.
+    std::vector<std::string> long_unavailable = {};
+    // Whether partitions may move towards even shares when no store has changed.
+    bool may_rebalance = false;
+    // When a store joins or partitions are rebalanced, at most a third of an even share moves per view from
+    // owners that could keep their partitions.
     bool moves_gradually = false;
 };
 
-// The view after `current`, with the next epoch; nothing where there is nothing to change.
-// Every partition stays with its owner where that one is alive, stays and has no more than its even share.
+// The view after `current`, with the next epoch; nullopt if nothing changes. A partition keeps its owner if
+// that store is alive, is not retiring and owns no more than its even share.
 std::optional<StoreView> nextView(const StoreView& current, const std::vector<StoreObservation>& observed,
                                   const ViewRules& rules);
 
-// Whether the leader needs to know if the view is peered: a store is to be dropped, or shares are uneven.
-bool waitsForPeering(const StoreView& view);
+// Whether the leader needs to know if the view is peered: a store is to be removed, or shares are uneven.
+bool needsPeeringProgress(const StoreView& view);
 
-// Marks the store as to be retired, for the leader to obey; a repeat changes nothing.
+// Marks the store for retirement, which the leader carries out; a repeat changes nothing.
 RetireVerdict orderRetirement(StoreView& view, const std::string& name);
+// `completed` once the store is no longer in the view but among its retired stores.
 RetirePhase retirePhase(const StoreView& view, const std::string& name);
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -1,6 +1,6 @@
-// Messages that wait while the operator changes where their route leads: they run where the newest
-// configuration sends them, or end where it sends them nowhere. Stores with pretended edges, then an edge
-// with pretended stores.
+// Tests of messages that are queued while the operator changes the service of their route: they run at the
+// service of the newest configuration, or end if it has no route for them. First stores with simulated edges,
+// then an edge with simulated stores.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -13,8 +13,9 @@
 
 using simulation::StoreWorld;
 
-// A pretended edge begins what was granted before a change and comes in after it; a real one gives it back.
-constexpr Millis kPushTakes{30};
+// A simulated edge starts runs that were granted before a change and arrive after it; a real edge returns
+// them.
+constexpr Millis kPushDelay{30};
 
 // The same configuration one generation later.
 std::shared_ptr<Configuration> next(const Configuration& current) {
@@ -26,23 +27,23 @@
     return *std::find_if(configuration.routes.begin(), configuration.routes.end(),
                          [&name](const Route& route) { return route.name == name; });
 }
-std::shared_ptr<Configuration> sendingTo(const Configuration& current, const std::string& route,
-                                         const std::string& service, std::int64_t generation = 0) {
+std::shared_ptr<Configuration> withService(const Configuration& current, const std::string& route,
+                                           const std::string& service, std::int64_t generation = 0) {
     auto made = next(current);
     if (generation > 0) made->generation = generation;
     routeOf(*made, route).service = service;
     made->buildIndexes();
     return made;
 }
-std::shared_ptr<Configuration> without(const Configuration& current, const std::string& route) {
+std::shared_ptr<Configuration> withoutRoute(const Configuration& current, const std::string& route) {
     auto made = next(current);
     std::erase_if(made->routes, [&route](const Route& each) { return each.name == route; });
     made->buildIndexes();
     return made;
 }
 
-// Another backend, another host, gone, or back under its old name: one of these, drawn.
-std::shared_ptr<Configuration> changedSomehow(StoreWorld& play, const Configuration& whole) {
+// A random change of one route: another service, removed, or added again with another host.
+std::shared_ptr<Configuration> randomChange(StoreWorld& play, const Configuration& whole) {
     const std::string name = play.world.chance() < 0.5 ? "plain" : "lines";
     const std::string service = play.world.chance() < 0.5 ? "servers" : "board";
     const double choice = play.world.chance();
@@ -52,13 +53,13 @@
         routeOf(*made, name).service = service;
         return made;
     }
-    if (choice < 0.8) return without(*play.configuration, name);
+    if (choice < 0.8) return withoutRoute(*play.configuration, name);
     auto made = next(*play.configuration);
     std::erase_if(made->routes, [&name](const Route& each) { return each.name == name; });
-    Route anew = *whole.route(name);
-    anew.hostname = "host-" + std::to_string(play.world.random()() % 3) + ".example";
-    anew.service = service;
-    made->routes.push_back(anew);
+    Route added = *whole.route(name);
+    added.hostname = "host-" + std::to_string(play.world.random()() % 3) + ".example";
+    added.service = service;
+    made->routes.push_back(added);
     return made;
 }
 
@@ -66,7 +67,7 @@
 public:
     explicit ChangingStores(std::uint64_t seed) : play(seed, simulation::WorldOptions{}) {}
 
-    void down(const std::string& service, bool is_down) {
+    void setDown(const std::string& service, bool is_down) {
         for (auto& edge : play.edges) {
             if (is_down) {
                 edge->down_services.insert(service);
@@ -89,14 +90,14 @@
         return state->phase;
     }
     // A configuration without the route of a message ends it.
-    void endDropped() {
+    void endUnroutedMessages() {
         for (auto& [id, message] : play.ledger.messages) {
             const bool dropped = !play.configuration->match(message.content.host, message.content.target);
             if (message.accepted && !message.ended && dropped) message.ended = play.world.now();
         }
     }
-    // Accepted messages that have no end, by what their owners say.
-    std::size_t waiting() {
+    // Number of accepted messages without an end that their partition owners report as pending.
+    std::size_t pendingMessages() {
         std::size_t count = 0;
         for (const auto& [id, message] : play.ledger.messages) {
             if (message.accepted && !message.ended && phaseOf(id) == Phase::pending) ++count;
@@ -110,19 +111,19 @@
 
 }  // namespace
 
-TEST_CASE("an ordered message that waited over a change of its route runs where the route leads now") {
+TEST_CASE("an ordered message queued during a change of its route runs at the new service") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         ChangingStores stores(seed);
-        stores.down("board", true);
-        stores.down("servers", true);
+        stores.setDown("board", true);
+        stores.setDown("servers", true);
         stores.submit(stores.play.content("lines", "key"));
-        stores.play.configure(sendingTo(*stores.play.configuration, "lines", "servers"));
+        stores.play.configure(withService(*stores.play.configuration, "lines", "servers"));
         stores.submit(stores.play.content("lines", "key"));  // waits for the first one's end
-        stores.play.configure(sendingTo(*stores.play.configuration, "lines", "board"));
+        stores.play.configure(withService(*stores.play.configuration, "lines", "board"));
         stores.submit(stores.play.content("lines", "key"));
-        stores.down("board", false);
-        stores.down("servers", false);
+        stores.setDown("board", false);
+        stores.setDown("servers", false);
         stores.play.world.run(Millis(6000));
         CHECK(stores.play.unfinished() == 0);
         CHECK(stores.arrivals("servers") == 0);
@@ -131,37 +132,37 @@
     }
 }
 
-TEST_CASE("a delayed message, and one that is retried, run where their routes lead now") {
+TEST_CASE("a delayed message and a retried one run at the new service of their route") {
     ChangingStores stores(1);
     MessageContent delayed = stores.play.content("plain");
     delayed.delay_ms = 3000;
     stores.submit(delayed);
-    stores.down("servers", true);
+    stores.setDown("servers", true);
     stores.submit(stores.play.content("plain"));
     stores.play.world.run(Millis(1000));
-    stores.play.configure(sendingTo(*stores.play.configuration, "plain", "board"));
-    stores.down("servers", false);
+    stores.play.configure(withService(*stores.play.configuration, "plain", "board"));
+    stores.setDown("servers", false);
     stores.play.world.run(Millis(8000));
     CHECK(stores.arrivals("servers") == 0);
     CHECK(stores.arrivals("board") == 2);
     CHECK(stores.play.unfinished() == 0);
 }
 
-TEST_CASE("what waits for a moved route keeps to the ceiling of the service where it runs") {
+TEST_CASE("messages queued during a change of their route respect the rate limit of the new service") {
     ChangingStores stores(2);
-    stores.down("servers", true);
+    stores.setDown("servers", true);
     for (int i = 0; i < 200; ++i) stores.play.anyEdge().submit(stores.play.content("plain"), 3);
     stores.play.world.run(Millis(1000));
-    stores.play.configure(sendingTo(*stores.play.configuration, "plain", "partner"));
+    stores.play.configure(withService(*stores.play.configuration, "plain", "partner"));
     stores.play.world.run(Millis(15'000));
     CHECK(stores.arrivals("partner") == 200);
     CHECK(stores.play.mostIn("partner", Millis(5000)) <= 20 * 5 * 1.1 + 5);
 }
 
-TEST_CASE("a message of a route that is gone ends also where its store knew that before the accept") {
+TEST_CASE("a message of a removed route ends even if its store learned of the removal before the accept") {
     ChangingStores stores(3);
     const MessageContent content = stores.play.content("plain");
-    stores.play.configure(without(*stores.play.configuration, "plain"));
+    stores.play.configure(withoutRoute(*stores.play.configuration, "plain"));
     for (auto& edge : stores.play.edges) edge->wants_grants = false;
     const MessageId id = stores.submit(content);
     stores.play.world.run(Millis(3000));
@@ -169,7 +170,7 @@
     CHECK(stores.phaseOf(id) == Phase::dead_letter);
 }
 
-TEST_CASE("a message follows its host and path, whatever the route's name is now") {
+TEST_CASE("a message is routed by its host and path, not by the name of its route") {
     ChangingStores stores(4);
     MessageContent gone = stores.play.content("plain");
     MessageContent stays = stores.play.content("lines");
@@ -177,7 +178,7 @@
     stores.submit(gone);
     stores.submit(stays);
     auto changed = next(*stores.play.configuration);
-    routeOf(*changed, "plain").path_prefix = "/elsewhere/";  // the name stays, under another path
+    routeOf(*changed, "plain").path_prefix = "/elsewhere/";  // same name, another path
     routeOf(*changed, "lines").name = "renamed";
     stores.play.configure(changed);
     stores.play.world.run(Millis(5000));
@@ -187,7 +188,7 @@
     CHECK(stores.phaseOf(stays.id) == Phase::completed);
 }
 
-TEST_CASE("an order holds across another name of its route") {
+TEST_CASE("ordering holds when the route is renamed") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         ChangingStores stores(seed);
@@ -204,7 +205,7 @@
     }
 }
 
-TEST_CASE("a key's messages go to one partition, whatever the name of their route") {
+TEST_CASE("messages of an order key go to one partition, whatever the name of their route") {
     edge_test::EdgeWorld world;
     world.feed();
     const auto accepted = [&world](const std::string& id) {
@@ -227,7 +228,7 @@
     CHECK(before.content.order_scope == after.content.order_scope);
 }
 
-TEST_CASE("a new owner takes waiting messages over to where their routes lead now") {
+TEST_CASE("a new owner runs queued messages at the new service of their route") {
     ChangingStores stores(5);
     MessageContent content = stores.play.content("plain");
     content.delay_ms = 4000;
@@ -235,7 +236,7 @@
         content.id = "delayed-" + std::to_string(i);
         stores.submit(content);
     }
-    stores.play.configure(sendingTo(*stores.play.configuration, "plain", "board"));
+    stores.play.configure(withService(*stores.play.configuration, "plain", "board"));
     stores.play.stop(*stores.play.machines[0]);
     stores.play.changeView();
     stores.play.world.run(Millis(8000));
@@ -243,8 +244,7 @@
     CHECK(stores.arrivals("board") == 12);
 }
 
-TEST_CASE(
-    "hundreds of changes while messages wait: each run begins where the newest configuration sends it") {
+TEST_CASE("with hundreds of changes while messages are queued, each run starts at the newest service") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
         ChangingStores stores(seed);
@@ -253,16 +253,16 @@
         std::size_t misdirected = 0;
         SteadyTime changed = play.world.now();
         play.on_run = [&](const Grant& grant) {
-            const bool under_way = play.world.now() - changed < kPushTakes;
+            const bool under_way = play.world.now() - changed < kPushDelay;
             const Route* const route = play.configuration->match(grant.content.host, grant.content.target);
             if (!under_way && (!route || route->service != grant.content.service)) ++misdirected;
         };
         for (int change = 0; change < 300; ++change) {
-            play.configure(changedSomehow(play, whole));
+            play.configure(randomChange(play, whole));
             changed = play.world.now();
-            stores.endDropped();
-            if (change % 20 == 5) stores.down("servers", true);
-            if (change % 20 == 15) stores.down("servers", false);
+            stores.endUnroutedMessages();
+            if (change % 20 == 5) stores.setDown("servers", true);
+            if (change % 20 == 15) stores.setDown("servers", false);
             for (int i = 0; i < 4; ++i) {
                 const std::string key = play.world.chance() < 0.5 ? "" : "key-" + std::to_string(i);
                 const std::string name = key.empty() ? "plain" : "lines";
@@ -274,11 +274,11 @@
             }
             play.world.run(Millis(100));
         }
-        stores.down("servers", false);
-        play.configure(sendingTo(whole, "plain", "servers", play.configuration->generation + 1));
+        stores.setDown("servers", false);
+        play.configure(withService(whole, "plain", "servers", play.configuration->generation + 1));
         play.world.run(Millis(15'000));
         CHECK(misdirected == 0);
-        CHECK(stores.waiting() == 0);
+        CHECK(stores.pendingMessages() == 0);
         CHECK(play.faultText() == "");
     }
 }
@@ -292,10 +292,10 @@
 }  // namespace
 
 TEST_CASE(
-    "an edge does not run a message at a service to which its newest configuration no longer sends it") {
+    "an edge does not run a message at a service that its newest configuration no longer assigns to it") {
     EdgeWorld world;
     world.feed();
-    world.edge->onConfiguration(sendingTo(*edge_test::configuration(), "plain", "partner"));
+    world.edge->onConfiguration(withService(*edge_test::configuration(), "plain", "partner"));
     world.push(0, {world.grant("id-1")});
     CHECK(world.http.sent.empty());
     REQUIRE(world.stores[0]->results.size() == 1);
@@ -303,7 +303,7 @@
     CHECK_FALSE(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("a route's name under another path does not allow a message of the old path") {
+TEST_CASE("a route moved to another path does not match a message of the old path") {
     EdgeWorld world;
     world.feed();
     auto changed = next(*edge_test::configuration());
@@ -314,7 +314,7 @@
     CHECK(world.http.sent.empty());
 }
 
-TEST_CASE("what waits inside an edge goes back when its route leads elsewhere") {
+TEST_CASE("messages queued in an edge are returned when their route changes to another service") {
     EdgeWorld world(1, 3, 1);
     world.feed();
     world.edge->setEdgeShare({43, 43, 0});  // two connections to the only server
@@ -322,7 +322,7 @@
     for (int i = 0; i < 6; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     const std::size_t sent = world.http.sent.size();
     REQUIRE(sent < 6);
-    world.edge->onConfiguration(sendingTo(*edge_test::configuration(), "plain", "partner"));
+    world.edge->onConfiguration(withService(*edge_test::configuration(), "plain", "partner"));
     world.world.run(Millis(20));
     CHECK(world.stores[0]->results.size() == 6 - sent);
     while (world.http.held() > 0) world.http.release(edge_test::notExecuted(503));
@@ -331,13 +331,13 @@
     CHECK(world.stores[0]->results.size() == 6);
 }
 
-TEST_CASE("an attempt that did not run is not sent on to a service that the route has left") {
+TEST_CASE("an attempt that did not run is not retried at a service that the route no longer uses") {
     EdgeWorld world;
     world.feed();
     world.http.play = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.http.sent.size() == 1);
-    world.edge->onConfiguration(sendingTo(*edge_test::configuration(), "plain", "partner"));
+    world.edge->onConfiguration(withService(*edge_test::configuration(), "plain", "partner"));
     world.http.release(edge_test::notExecuted(503));
     world.world.run(Millis(2000));
     CHECK(world.http.sent.size() == 1);
--- a/tests/cluster/control_configuration_read_test.cpp
+++ b/tests/cluster/control_configuration_read_test.cpp
@@ -1,5 +1,5 @@
-// The newest configuration, read by way of any dispatcher: never older than what was acknowledged before the
-// read, and 503 where nobody can be sure.
+// Reads of the newest configuration through any dispatcher: never older than any change acknowledged before
+// the read, and 503 if no quorum confirms the result.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a dispatcher tells the newest configuration, whole, or that there is none") {
+TEST_CASE("a dispatcher returns the full newest configuration, or 404 if there is none") {
     ReadWorld play(1);
     CHECK(play.readByEdge().status == 404);
     const std::string body = configurationJson(5, "first");
@@ -50,9 +50,9 @@
     CHECK(answer.body == body);
 }
 
-TEST_CASE("a read by way of any dispatcher is not older than what was acknowledged before it") {
+TEST_CASE("a read through any dispatcher is not older than any change acknowledged before it") {
     int acknowledged = 0;
-    int told = 0;
+    int confirmed = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         INFO("seed " << seed);
         ReadWorld play(seed);
@@ -66,22 +66,22 @@
                     if (machine->ip() != cut_off) play.network.cutBoth(cut_off, machine->ip());
                 }
             }
-            CoreMachine& taker = *play.core[play.world.random()() % 3];
-            if (play.replace(taker, base, body) != 200) continue;
+            CoreMachine& receiver = *play.core[play.world.random()() % 3];
+            if (play.replace(receiver, base, body) != 200) continue;
             base = generation;
             ++acknowledged;
             const HttpResponse answer = play.readByEdge();
             REQUIRE((answer.status == 200 || answer.status == 503));
             if (answer.status != 200) continue;
-            ++told;
+            ++confirmed;
             CHECK(answer.body == body);
         }
     }
     CHECK(acknowledged > 200);
-    CHECK(told > acknowledged / 2);
+    CHECK(confirmed > acknowledged / 2);
 }
 
-TEST_CASE("without a majority of the core nobody is sure, and the dispatcher says so in time") {
+TEST_CASE("without a majority of the core the dispatcher responds 503 in time") {
     ReadWorld play(2);
     REQUIRE(play.replace(*play.core[0], 0, configurationJson(5, "first")) == 200);
     SUBCASE("the core machines are cut off from each other") {
@@ -99,7 +99,7 @@
     CHECK(play.readByEdge().status == 503);
 }
 
-TEST_CASE("a machine that is cut off does not keep the dispatcher from asking another one") {
+TEST_CASE("a partitioned core machine does not keep the dispatcher from asking another one") {
     ReadWorld play(3);
     const std::string body = configurationJson(5, "first");
     REQUIRE(play.replace(*play.core[1], 0, body) == 200);
--- a/tests/cluster/control_distribution_test.cpp
+++ b/tests/cluster/control_distribution_test.cpp
@@ -1,4 +1,4 @@
-// Long polls, membership, and the dispatchers' side: CoreClient.
+// Tests of long polls (Distribution), Membership, and the dispatchers' client of the core (CoreClient).
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <xxhash.h>
@@ -34,9 +34,9 @@
     return made;
 }
 
-class DistributionPlay {
+class DistributionFixture {
 public:
-    explicit DistributionPlay(double link_mbps = 0)
+    explicit DistributionFixture(double link_mbps = 0)
         : world(1),
           scheduler(world),
           distribution(scheduler,
@@ -45,13 +45,13 @@
                         .confirm = [this] { ++rounds_asked; }},
                        link_mbps) {}
 
-    // A round that began now has succeeded.
+    // Reports a successful confirmation round that began now.
     void confirm() {
         confirmed_at = world.now();
-        distribution.confirmed();
+        distribution.onConfirmed();
     }
 
-    // The answer to a watch, once it has come.
+    // Starts a watch; the result holds its answer once there is one.
     std::shared_ptr<std::optional<Envelope>> watch(const WatchRequest& request) {
         const auto answer = std::make_shared<std::optional<Envelope>>();
         distribution.watch(request, [answer](Envelope envelope) { *answer = std::move(envelope); });
@@ -70,13 +70,13 @@
     return {"edge-1", generation, version, epoch, 1000};
 }
 
-// A core machine as the test wants it: counts and answers watches and renewals.
+// A scripted core machine: records watches and renewals, and answers them as the test configures.
 class FakeCore {
 public:
     FakeCore(World& world, Network& network, const std::string& ip)
         : address{ip, kFirstPort}, transport_(world, network, address) {
         transport_.serve([this](const Envelope& envelope, const Responder& respond) {
-            if (silent) return;
+            if (ignores_requests) return;
             if (envelope.kind == static_cast<std::uint16_t>(MessageKind::renew_lease)) {
                 renewals.push_back(*decode<RenewLeaseRequest>(envelope.body));
                 return respond(reply(renewal));
@@ -94,15 +94,15 @@
     WatchReply next;
     std::vector<Responder> held;
     bool refuses = false;
-    bool silent = false;
+    bool ignores_requests = false;
 
 private:
     MemoryTransport transport_;
 };
 
-class ClientPlay {
+class ClientFixture {
 public:
-    ClientPlay()
+    ClientFixture()
         : world(3), network(world), first(world, network, "10.0.0.1"), second(world, network, "10.0.0.2") {
         Member member;
         member.name = "edge-1";
@@ -121,8 +121,8 @@
 
 }  // namespace
 
-TEST_CASE("a watch is answered as soon as what is newer is confirmed, with just that") {
-    DistributionPlay play;
+TEST_CASE("a watch is answered as soon as newer content is confirmed, and with that content only") {
+    DistributionFixture play;
     play.distribution.setConfiguration(configuration(4));
     play.distribution.setServers(servers(2, 5));
     play.distribution.setView(view(3));
@@ -146,8 +146,8 @@
     CHECK_FALSE(watched->view);
 }
 
-TEST_CASE("a watch is held until something is newer, or until its time is over") {
-    DistributionPlay play;
+TEST_CASE("a watch is held until newer content arrives or its wait time ends") {
+    DistributionFixture play;
     play.distribution.setServers(servers(2, 5));
     const auto woken = play.watch(request(0, {2, 5}, 0));
     const auto other = play.watch(request(0, {2, 6}, 0));
@@ -158,7 +158,7 @@
     CHECK(decode<WatchReply>((*woken)->body)->servers->version == ServerListVersion{2, 6});
     CHECK_FALSE(other->has_value());
     play.world.run(Millis(850));
-    CHECK_FALSE(other->has_value());  // that nothing is newer is not confirmed
+    CHECK_FALSE(other->has_value());  // an answer without newer content needs a confirmation too
     play.confirm();
     play.world.run(Millis(150));
     REQUIRE(other->has_value());
@@ -166,8 +166,8 @@
     CHECK(play.distribution.watchers() == 0);
 }
 
-TEST_CASE("what is distributed never goes back") {
-    DistributionPlay play;
+TEST_CASE("distributed versions never go back") {
+    DistributionFixture play;
     play.distribution.setConfiguration(configuration(4));
     play.distribution.setConfiguration(configuration(3));
     play.distribution.setServers(servers(2, 1));
@@ -183,8 +183,8 @@
     CHECK(watched->view->epoch == 5);
 }
 
-TEST_CASE("what comes while a watch is held is told at once if a confirmation began after the watch") {
-    DistributionPlay play;
+TEST_CASE("content that arrives during a watch is sent at once if a confirmation began after the watch") {
+    DistributionFixture play;
     play.distribution.setConfiguration(configuration(4));
     const auto covered = play.watch(request(4, {}, 0));
     play.world.run(Millis(10));
@@ -202,16 +202,16 @@
     CHECK(decode<WatchReply>((**later).body)->config->configuration.generation == 6);
 }
 
-TEST_CASE("servers alone need no confirmation") {
-    DistributionPlay play;
+TEST_CASE("a server list needs no confirmation") {
+    DistributionFixture play;
     const auto held = play.watch(request(0, {2, 5}, 0));
     play.distribution.setServers(servers(2, 6));
     REQUIRE(held->has_value());
     CHECK(decode<WatchReply>((**held).body)->servers->version == ServerListVersion{2, 6});
 }
 
-TEST_CASE("without contact to a majority nobody is held, and nothing is told, neither old nor newer") {
-    DistributionPlay play;
+TEST_CASE("without contact to a majority watches are neither held nor answered with content") {
+    DistributionFixture play;
     play.distribution.setConfiguration(configuration(4));
     play.distribution.setServers(servers(2, 5));
     const auto held = play.watch(request(4, {2, 5}, 0));
@@ -231,10 +231,10 @@
     CHECK(play.distribution.watchers() == 0);
 }
 
-TEST_CASE("what is handed out leaves half of the link to others, and everybody gets his part") {
+TEST_CASE("answers use at most half of the link, and every watcher is answered") {
     constexpr double kMegabits = 8;
     constexpr std::size_t kHalfOfLink = 500;  // bytes a millisecond
-    DistributionPlay play(kMegabits);
+    DistributionFixture play(kMegabits);
     ServerList list = servers(2, 5);
     list.servers.resize(200);
     std::vector<std::shared_ptr<std::optional<Envelope>>> answers;
@@ -257,8 +257,8 @@
     CHECK(play.distribution.counters().longest_wait > Millis(100));
 }
 
-TEST_CASE("a client takes a difference, and asks for the whole where a difference can't be applied") {
-    ClientPlay play;
+TEST_CASE("a client applies a difference, and requests the full configuration if it can't be applied") {
+    ClientFixture play;
     play.world.run(Millis(100));
     FakeCore& core = play.watched();
     const auto answer = [&](const ConfigurationPage& page) {
@@ -281,7 +281,8 @@
     CHECK(play.client->client().configuration()->service("desk") == nullptr);
     CHECK(core.watches.back().config_base == history.updateFrom({}).configuration);
     history.add({6, configurationJson(6), {}});
-    answer(history.updateFrom(fourth).pageAfter({}));  // rests on what the client has no more
+    answer(
+        history.updateFrom(fourth).pageAfter({}));  // its base is no longer the configuration of the client
     CHECK(play.client->client().configuration()->generation == 5);
     CHECK(core.watches.back().config_base == KnownConfiguration{});
     CHECK(core.watches.back().config_generation == 5);
@@ -323,8 +324,8 @@
     CHECK(changes == 3);
 }
 
-TEST_CASE("a client takes only what is newer, and skips a configuration that it cannot read") {
-    ClientPlay play;
+TEST_CASE("a client accepts only newer versions, and skips a configuration that it cannot read") {
+    ClientFixture play;
     play.world.run(Millis(100));
     FakeCore& core = play.watched();
     const auto answer = [&](std::int64_t generation, ServerListVersion version, StoreView sent) {
@@ -349,12 +350,12 @@
     core.held.back()(reply(broken));
     play.world.run(Millis(50));
     CHECK(play.client->client().configuration()->generation == 5);
-    // It is not asked for again.
+    // The client does not request it again.
     CHECK(core.watches.back().config_generation == 6);
 }
 
-TEST_CASE("a client moves on from a core machine that refuses, breaks or falls silent") {
-    ClientPlay play;
+TEST_CASE("a client switches from a core machine that refuses watches or stops answering") {
+    ClientFixture play;
     play.world.run(Millis(100));
     FakeCore& before = play.watched();
     FakeCore& other = &before == &play.first ? play.second : play.first;
@@ -365,16 +366,16 @@
         play.world.run(Millis(50));
         CHECK(!other.watches.empty());
     }
-    SUBCASE("silent: the renewals tell before the watch times out") {
-        before.silent = true;
+    SUBCASE("no answers: missed renewals reveal it before the watch times out") {
+        before.ignores_requests = true;
         play.world.run(Millis(1500));
         CHECK(!other.watches.empty());
         CHECK(play.client->client().lastContact().has_value());
     }
 }
 
-TEST_CASE("a client that hears of something newer at a renewal asks the machine that told") {
-    ClientPlay play;
+TEST_CASE("a client watches the core machine that reports a newer version in a renewal") {
+    ClientFixture play;
     play.world.run(Millis(700));
     FakeCore& before = play.watched();
     FakeCore& other = &before == &play.first ? play.second : play.first;
@@ -391,8 +392,8 @@
     CHECK(!other.watches.empty());
 }
 
-TEST_CASE("a client that is fetching pages stays with its core machine, whatever renewals tell of") {
-    ClientPlay play;
+TEST_CASE("a client that is receiving pages stays with its core machine, whatever renewals report") {
+    ClientFixture play;
     play.world.run(Millis(700));
     FakeCore& watched = play.watched();
     FakeCore& other = &watched == &play.first ? play.second : play.first;
@@ -403,7 +404,7 @@
     const std::size_t asked_before = other.watches.size();
     UpdateProgress progress;
     int pages = 0;
-    // Slower than renewals come.
+    // Pages arrive more slowly than renewals.
     for (; play.client->generations.empty() && pages < 100; ++pages) {
         REQUIRE(!watched.held.empty());
         WatchReply answer;
@@ -418,8 +419,8 @@
     CHECK(other.watches.size() == asked_before);
 }
 
-TEST_CASE("with the whole core away a client asks at a bounded rate and finds it again") {
-    ClientPlay play;
+TEST_CASE("with the whole core unavailable a client retries at a bounded rate and reconnects") {
+    ClientFixture play;
     play.first.refuses = play.second.refuses = true;
     play.world.run(Millis(10000));
     const std::size_t watches = play.first.watches.size() + play.second.watches.size();
@@ -431,7 +432,7 @@
     CHECK(play.client->generations == std::vector<std::int64_t>{2});
 }
 
-TEST_CASE("each dispatcher is told its place, which a short absence of others does not move") {
+TEST_CASE("each dispatcher gets its rank, which a short absence of others does not change") {
     World world(1);
     SimulatedScheduler scheduler(world);
     Membership membership(scheduler);
@@ -460,8 +461,8 @@
     CHECK(membership.edgeShare(members[2], topology) == EdgeShare{4, 2, 1});
 }
 
-TEST_CASE("a client learns core machines, counts edges, and says at once that it leaves") {
-    ClientPlay play;
+TEST_CASE("a client discovers core machines, keeps the edge count, and reports at once that it leaves") {
+    ClientFixture play;
     FakeCore third(play.world, play.network, "10.0.0.3");
     play.first.renewal.core = {play.first.address, play.second.address, third.address};
     play.second.renewal.core = play.first.renewal.core;
--- a/tests/cluster/control_listener_test.cpp
+++ b/tests/cluster/control_listener_test.cpp
@@ -1,4 +1,4 @@
-// The control address of a running core machine, as an operator's HTTP client sees it.
+// Tests of the control address of a running core process through an HTTP client.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <signal.h>
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t kMessageBodyBytes = 262'144;  // what a dispatcher takes by default
+constexpr std::size_t kMessageBodyBytes = 262'144;  // default body limit of a dispatcher
 constexpr Millis kCallTimeout{5000};
 constexpr Millis kRetryPause{50};
 constexpr int kTaken = 200;
@@ -79,7 +79,7 @@
     pid_t process_ = -1;
 };
 
-// An operator who sends a call again while the core machine can't be reached or knows no outcome.
+// An operator that repeats a call while the core machine can't be reached or the outcome is unknown.
 class Operator {
 public:
     explicit Operator(NodeAddress control) : control_(std::move(control)) {}
@@ -122,7 +122,7 @@
 
 }  // namespace
 
-TEST_CASE("a configuration of 1,000 services gets through the control listener and is read back") {
+TEST_CASE("a configuration of 1,000 services is accepted by the control listener and read back") {
     const CoreProcess core;
     Operator caller(core.control());
     const std::string body = largeConfiguration(1, 1'000);
@@ -134,7 +134,7 @@
     CHECK((read.body == body));
 }
 
-TEST_CASE("a body that is larger than any configuration may be is refused") {
+TEST_CASE("a body that exceeds the size limit of a configuration is rejected") {
     const CoreProcess core;
     Operator caller(core.control());
     CHECK(caller.replace(0, std::string(kMaxOperatorBodyBytes + 1, ' ')).status == kTooLarge);
--- a/tests/cluster/control_node_test.cpp
+++ b/tests/cluster/control_node_test.cpp
@@ -1,4 +1,4 @@
-// The control plane end to end: three core machines, dispatchers, an operator.
+// End-to-end tests of the control plane: three core machines, dispatchers and an operator.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -56,7 +56,7 @@
     return std::adjacent_find(versions.begin(), versions.end(), std::greater_equal<>()) == versions.end();
 }
 
-void checkNobodyWentBack(ControlWorld& play) {
+void checkVersionsOnlyRise(ControlWorld& play) {
     for (const auto& [name, client] : play.clients) {
         CHECK_MESSAGE(onlyRises(client->generations), name);
         CHECK_MESSAGE(onlyRises(client->server_versions), name);
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-TEST_CASE("a first start brings view, servers and configuration to everybody") {
+TEST_CASE("after a first start all dispatchers get the view, the servers and the configuration") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -90,11 +90,11 @@
                                 [&](const PartitionOwner& partition) { return partition.owner == store; }) ==
                   8);
         }
-        checkNobodyWentBack(play);
+        checkVersionsOnlyRise(play);
     }
 }
 
-TEST_CASE("the operator's answers") {
+TEST_CASE("responses to the operator") {
     ControlWorld play(5);
     play.startAll();
     play.world.run(Millis(2000));
@@ -107,7 +107,7 @@
     const std::string body = configurationJson(5);
     CHECK(play.replace(first, 0, body) == 200);
     CHECK(play.read(second).body == body);
-    SUBCASE("a repeat is acknowledged again, also at another machine and after newer ones") {
+    SUBCASE("a repeat is acknowledged again, also at another machine and after newer changes") {
         CHECK(play.replace(second, 0, body) == 200);
         CHECK(play.replace(second, 5, configurationJson(9)) == 200);
         CHECK(play.replace(first, 0, body) == 200);
@@ -121,7 +121,7 @@
         CHECK(play.replace(second, 5, configurationJson(5, "other")) == 400);
         CHECK(play.replace(second, 5, configurationJson(4)) == 400);
     }
-    SUBCASE("a base that is missing or garbled") {
+    SUBCASE("a base version that is missing or malformed") {
         HttpRequest request = ControlWorld::replaceRequest(5, configurationJson(6));
         request.headers[0].value = "5x";
         CHECK(play.call(first, request).status == 400);
@@ -140,7 +140,7 @@
         CHECK(play.call(first, {"POST", "/Retire.Start/storage-1", {}, "{}"}).status == 409);
         CHECK(play.call(first, {"GET", "/Retire.Read/storage-2", {}, {}}).status == 404);
     }
-    SUBCASE("the state of the system is readable") {
+    SUBCASE("the status shows members and the configuration") {
         addStores(play, 1);
         play.world.run(Millis(1000));
         const HttpResponse status = play.call(first, {"GET", "/status", {}, {}});
@@ -150,7 +150,7 @@
     }
 }
 
-TEST_CASE("two changes on one base at two machines: one wins") {
+TEST_CASE("of two changes with the same base at two machines, one is taken") {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -182,8 +182,7 @@
     CHECK(play.read(*play.core[0]).body == configurationJson(2));
 }
 
-TEST_CASE(
-    "the whole core is killed right after an acknowledgement: nothing is lost, and a lost disk neither") {
+TEST_CASE("an acknowledged change survives a kill of the whole core, also with the loss of one disk") {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -202,11 +201,11 @@
         CHECK(play.replace(*play.core[1], 2, configurationJson(3)) == 200);
         CHECK(play.world.runUntil([&] { return allHaveGeneration(play, 3); }, Millis(1000)));
         CHECK(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(4000)));
-        checkNobodyWentBack(play);
+        checkVersionsOnlyRise(play);
     }
 }
 
-TEST_CASE("operators send under loss, kills and a lost disk; what they are told holds") {
+TEST_CASE("responses to operators hold under message loss, kills and a lost disk") {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -222,7 +221,7 @@
             for (int attempt = 0; attempt < 20 && status != 200; ++attempt) {
                 CoreMachine& machine = *play.core[play.world.random()() % 3];
                 if (machine.runs()) status = play.replace(machine, current, body);
-                // A change on the newest base may only be unclear, never refused.
+                // A change based on the newest version may have an unknown outcome, but is never rejected.
                 CHECK((status == 0 || status == 200 || status == 503));
                 if (play.world.chance() < 0.15) {
                     CoreMachine& victim = *play.core[play.world.random()() % 3];
@@ -246,11 +245,11 @@
         play.world.run(Millis(3000));
         for (auto& machine : play.core) CHECK(play.read(*machine).body == current_body);
         CHECK(allHaveGeneration(play, current));
-        checkNobodyWentBack(play);
+        checkVersionsOnlyRise(play);
     }
 }
 
-TEST_CASE("a leader that goes is replaced, and a store that ends is out of the view at once") {
+TEST_CASE("a leader that fails or leaves is replaced, and a store that leaves is out of the view at once") {
     ControlWorld play(21);
     addEdges(play, 2);
     addStores(play);
@@ -263,7 +262,7 @@
         REQUIRE(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(3000)));
         leader->start();
     }
-    SUBCASE("a leader that leaves gives its lease back") {
+    SUBCASE("a leader that leaves releases its lease") {
         bool left = false;
         leader->node().leave([&] { left = true; });
         REQUIRE(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(1000)));
@@ -288,10 +287,10 @@
         CHECK(partition.previous_stopped);
         CHECK(view->stores[static_cast<std::size_t>(partition.owner)].alive);
     }
-    checkNobodyWentBack(play);
+    checkVersionsOnlyRise(play);
 }
 
-TEST_CASE("a store that falls silent is replaced in about a second and comes back") {
+TEST_CASE("a store that stops renewing is replaced in about a second and comes back") {
     ControlWorld play(22);
     addEdges(play, 1);
     addStores(play);
@@ -307,10 +306,10 @@
                         [](const PartitionOwner& partition) { return !partition.previous_stopped; }) == 8);
     addStores(play, 1);
     CHECK(play.world.runUntil([&] { return allHaveView(play, 3); }, Millis(1500)));
-    checkNobodyWentBack(play);
+    checkVersionsOnlyRise(play);
 }
 
-TEST_CASE("a whole-core stop leaves view and configuration as they are") {
+TEST_CASE("a stop of the whole core preserves the view and the configuration") {
     ControlWorld play(23);
     addEdges(play, 2);
     addStores(play);
@@ -327,7 +326,7 @@
     CHECK(play.clients["edge-1"]->client().view()->epoch == epoch);
 }
 
-TEST_CASE("a core machine that is cut off from the others sends its watchers on") {
+TEST_CASE("watchers leave a core machine that is partitioned from the others") {
     ControlWorld play(24);
     addEdges(play, 6);
     play.startAll();
@@ -342,7 +341,7 @@
     CHECK(play.world.runUntil([&] { return allHaveGeneration(play, 3); }, Millis(2000)));
 }
 
-TEST_CASE("eight orders at once at all machines: one is taken, the others are refused, none is unclear") {
+TEST_CASE("of eight concurrent changes one is taken, the others are rejected, and every outcome is known") {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -384,7 +383,7 @@
     }
 }
 
-TEST_CASE("a new leader that has not listened long enough drops no store") {
+TEST_CASE("a new leader removes no store during its observation period") {
     // The whole core restarts while a store is out of reach of it for a moment.
     ControlWorld play(31);
     addEdges(play, 1);
@@ -395,7 +394,7 @@
     play.world.run(Millis(200));
     play.startAll();
     REQUIRE(play.world.runUntil([&] { return play.leader() != nullptr; }, Millis(5000)));
-    // All core machines know storage-1 by now; it is cut off before the leader has listened for long.
+    // All core machines know storage-1 by now; it is cut off during the observation period of the leader.
     play.network.isolate("10.1.0.1");
     play.world.run(Millis(1100));
     CHECK(allHaveView(play, 3));
@@ -404,7 +403,7 @@
     CHECK(allHaveView(play, 3));
 }
 
-TEST_CASE("a retirement goes on after the leader has died, and every core machine tells of it") {
+TEST_CASE("a retirement continues after the leader has died, and every core machine reports it") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
         ControlWorld play(seed);
@@ -443,10 +442,11 @@
     }
 }
 
-// A change of the control plane must not make these more: in 60 s, of three core machines and seven members.
-constexpr std::uint64_t kRequestsAtRest = 7520;
+// Upper limit of requests in 60 s, with three core machines and seven members; guards against additional
+// traffic.
+constexpr std::uint64_t kMaxIdleRequests = 7520;
 
-TEST_CASE("at rest the disks are not touched, and the messages stay as few as they are") {
+TEST_CASE("an idle system does not write to disk and sends no more messages than the limit") {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         ControlWorld play(seed);
         addEdges(play, 4);
@@ -466,6 +466,6 @@
         const std::uint64_t requests = play.network.requests - requests_before;
         MESSAGE(requests << " requests");
         CHECK(syncs() == syncs_before);
-        CHECK(requests <= kRequestsAtRest);
+        CHECK(requests <= kMaxIdleRequests);
     }
 }
--- a/tests/cluster/control_operators_test.cpp
+++ b/tests/cluster/control_operators_test.cpp
@@ -1,5 +1,5 @@
-// Operators who send orders to any core machines, lose answers and repeat; what they were told is compared
-// with the changes that were taken in the end.
+// Operators send changes to any core machine, lose responses and repeat. The responses are compared with the
+// changes that the register holds as taken in the end.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <xxhash.h>
@@ -20,17 +20,17 @@
 namespace {
 
 constexpr int kTaken = 200;
-constexpr int kUnclear = 503;
+constexpr int kUnknownOutcome = 503;
 
 struct Order {
     std::int64_t base = 0;
     std::int64_t generation = 0;
     std::string body;
-    std::vector<int> answers;  // all that the core gave, whether the operator heard it or not
-    bool isTold(int status) const { return std::count(answers.begin(), answers.end(), status) > 0; }
+    std::vector<int> answers;  // all responses of the core, including those that the operator lost
+    bool hasAnswer(int status) const { return std::count(answers.begin(), answers.end(), status) > 0; }
 };
 
-// The core with its operators. A replaced machine gets an address of its own.
+// The core machines and their operators. The replacement of a lost machine has a new address.
 class OperatorsWorld : public ControlWorld {
 public:
     explicit OperatorsWorld(std::uint64_t seed, std::size_t machines = 3) : ControlWorld(seed, machines) {
@@ -43,7 +43,7 @@
         orders_.push_back({base, generation, configurationJson(generation, note), {}});
         return orders_.back();
     }
-    // Sends without waiting; a machine that is down answers nothing.
+    // Sends without waiting; a stopped machine does not answer.
     void send(Order& order, CoreMachine& machine) {
         if (!machine.runs()) return;
         const HttpRequest request = replaceRequest(order.base, order.body);
@@ -78,7 +78,7 @@
             if (!machine->runs() && !isLost(*machine)) machine->start();
         }
     }
-    // One machine is gone for good, and an empty one comes at a new address.
+    // Loses one machine for good, and starts an empty one at a new address.
     void replaceMachine(CoreMachine& lost) {
         lost.kill();
         lost_.push_back(&lost);
@@ -100,19 +100,19 @@
         const std::string mark = R"("generation":)";
         return std::stoll(response.body.substr(response.body.find(mark) + mark.size()));
     }
-    // A change on top of the current version that is surely taken.
-    void takeNext(std::int64_t generation) {
+    // Sends a change based on the current version until it is acknowledged.
+    void applyNext(std::int64_t generation) {
         Order& next = order(currentGeneration(), generation, "next");
-        for (int attempt = 0; attempt < 5 && !next.isTold(kTaken); ++attempt) {
+        for (int attempt = 0; attempt < 5 && !next.hasAnswer(kTaken); ++attempt) {
             send(next, anyRunning());
             world.run(Millis(1600));
         }
-        CHECK(next.isTold(kTaken));
+        CHECK(next.hasAnswer(kTaken));
     }
 
-    // All changes that were ever in force: what a last change finds remembered.
-    std::vector<TakenChange> history() {
-        takeNext(1'000'000);
+    // All changes that were ever taken, as recorded in the state after one more change.
+    std::vector<TakenChange> takenChanges() {
+        applyNext(1'000'000);
         AcceptedRecord newest;
         for (auto& machine : core) {
             const auto record =
@@ -123,21 +123,21 @@
         REQUIRE(state.has_value());
         return state->taken;
     }
-    // Told and true are the same: a taken order never got a refusal, another one never a confirmation, and on
-    // each version there is one.
+    // Checks that the responses agree with the taken changes: a taken change was never rejected, no other
+    // change was acknowledged, and exactly one change builds on each version.
     void checkAnswers() {
-        const std::vector<TakenChange> taken = history();
+        const std::vector<TakenChange> taken = takenChanges();
         std::int64_t base = 0;
         for (const TakenChange& change : taken) {
             CHECK(change.base == base);
             base = change.generation;
         }
         for (const Order& order : orders_) {
-            const bool in_force = std::any_of(taken.begin(), taken.end(), [&](const TakenChange& change) {
+            const bool is_taken = std::any_of(taken.begin(), taken.end(), [&](const TakenChange& change) {
                 return change == changeOf(order);
             });
             for (const int answer : order.answers) {
-                const bool is_right = answer == kUnclear || (answer == kTaken) == in_force;
+                const bool is_right = answer == kUnknownOutcome || (answer == kTaken) == is_taken;
                 CHECK_MESSAGE(is_right, order.base << " -> " << order.generation << " " << answer);
             }
         }
@@ -157,7 +157,7 @@
 
 }  // namespace
 
-TEST_CASE("two changes under one number, at any two machines, at any distance: one is in force") {
+TEST_CASE("of two changes with one generation, at any two machines with any delay, one is taken") {
     for (int first = 0; first < 3; ++first) {
         for (int second = 0; second < 3; ++second) {
             for (int offset = 0; offset <= 20; ++offset) {
@@ -168,9 +168,9 @@
                 play.send(left, *play.core[static_cast<std::size_t>(first)]);
                 play.sendAt(Millis(offset), right, *play.core[static_cast<std::size_t>(second)]);
                 play.world.run(Millis(1600));
-                CHECK(left.isTold(kTaken) != right.isTold(kTaken));
+                CHECK(left.hasAnswer(kTaken) != right.hasAnswer(kTaken));
                 play.repeatEverywhere();
-                play.takeNext(9);
+                play.applyNext(9);
                 play.repeatEverywhere();
                 play.checkAnswers();
             }
@@ -178,7 +178,7 @@
     }
 }
 
-TEST_CASE("one change at two machines at once, at any distance: both confirm it or leave it unclear") {
+TEST_CASE("one change sent to two machines with any delay is acknowledged by both") {
     for (int offset = 0; offset <= 40; ++offset) {
         INFO(offset);
         OperatorsWorld play(static_cast<std::uint64_t>(300 + offset));
@@ -191,8 +191,7 @@
     }
 }
 
-TEST_CASE(
-    "the machine that takes a change dies before, between or after; the rival and repeats go elsewhere") {
+TEST_CASE("responses hold if the machine handling a change dies at any time and repeats go elsewhere") {
     for (int killed_after = 0; killed_after <= 20; ++killed_after) {
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
             INFO(killed_after << " " << seed);
@@ -210,7 +209,7 @@
             if (seed % 2 == 0) play.startStopped();
             play.repeatEverywhere();
             play.startStopped();
-            play.takeNext(9);
+            play.applyNext(9);
             play.repeatEverywhere();
             play.restartAll();
             play.repeatEverywhere();
@@ -219,7 +218,7 @@
     }
 }
 
-TEST_CASE("an order reaches a minority only, and its machine is cut off; a refusal elsewhere stays one") {
+TEST_CASE("a rejection is final when a change reached only a minority and its machine is partitioned") {
     for (int cut_after = 0; cut_after <= 14; ++cut_after) {
         for (int form = 0; form < 4; ++form) {
             for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -243,7 +242,7 @@
                 play.network.healAll();
                 play.world.run(Millis(1600));
                 play.repeatEverywhere();
-                play.takeNext(9);
+                play.applyNext(9);
                 play.repeatEverywhere();
                 play.checkAnswers();
             }
@@ -251,7 +250,7 @@
     }
 }
 
-TEST_CASE("repeats after a machine was replaced, and after a restart of the core with its new voters") {
+TEST_CASE("responses to repeats hold after a machine is replaced and the core restarts with its new voters") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO(seed);
         OperatorsWorld play(500 + seed);
@@ -265,14 +264,15 @@
         play.world.run(Millis(100));
         play.replaceMachine(machine);
         play.repeatEverywhere();
-        play.takeNext(9);
+        play.applyNext(9);
         play.restartAll();
         play.repeatEverywhere();
         play.checkAnswers();
     }
 }
 
-TEST_CASE("operators under loss, cuts and kills, five machines too: what was told is what is in force") {
+TEST_CASE(
+    "responses match the taken changes under loss, partitions and kills, with three and five machines") {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         INFO(seed);
         const std::size_t machines = seed % 2 == 0 ? 5 : 3;
--- a/tests/cluster/control_poller_test.cpp
+++ b/tests/cluster/control_poller_test.cpp
@@ -1,4 +1,4 @@
-// The reading of the platform's list of servers.
+// Tests of ServerPoller, which reads the server list from the platform's API.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-class PollerPlay {
+class PollerFixture {
 public:
-    explicit PollerPlay(double rate_per_s = 44)
+    explicit PollerFixture(double rate_per_s = 44)
         : world(1),
           scheduler(world),
           cloud(world),
@@ -38,7 +38,7 @@
 }  // namespace
 
 TEST_CASE("a new leader polls at once and publishes what it reads") {
-    PollerPlay play;
+    PollerFixture play;
     play.poller.start(7);
     play.world.run(Millis(10));
     REQUIRE(play.published.size() == 1);
@@ -53,8 +53,8 @@
     CHECK_FALSE(list.servers[0].draining);
 }
 
-TEST_CASE("all pages make one list, and tokens are escaped") {
-    PollerPlay play;
+TEST_CASE("all pages are combined into one list, and tokens are escaped") {
+    PollerFixture play;
     play.twoPages();
     play.poller.start(1);
     play.world.run(Millis(10));
@@ -64,14 +64,14 @@
     CHECK(play.cloud.targets == std::vector<std::string>{"/instances", "/instances?pageToken=p%261"});
 }
 
-TEST_CASE("a list of which a page is refused does not count, and the old one stays") {
-    PollerPlay play;
+TEST_CASE("a list with a failed page is discarded, and the old one stays published") {
+    PollerFixture play;
     play.poller.start(1);
     play.world.run(Millis(10));
     play.twoPages();
     play.world.run(Millis(480));
     REQUIRE(play.cloud.targets.size() == 1);
-    // The first page of the next list comes, then the platform refuses a while.
+    // The first page of the next list arrives, then the platform rejects three calls.
     play.world.runUntil([&] { return play.cloud.targets.size() == 2; }, Millis(100));
     play.cloud.refuse_next = 3;
     play.world.run(Millis(100));
@@ -86,14 +86,14 @@
     for (const std::string body :
          {"", "{}", "[]", "{\"instances\":{}}", "{\"instances\":[{\"uid\":\"i-1\"}]}",
           "{\"instances\":[],\"nextPageToken\":5}"}) {
-        PollerPlay play;
+        PollerFixture play;
         play.poller.start(1);
         play.world.run(Millis(10));
         play.cloud.pages = {body};
         play.world.run(Millis(2000));
         CHECK_MESSAGE(play.published.size() == 1, body);
     }
-    PollerPlay play;
+    PollerFixture play;
     play.cloud.pages = {FakeCloud::page("")};
     play.poller.start(1);
     play.world.run(Millis(10));
@@ -101,8 +101,8 @@
     CHECK(play.published[0].servers.empty());
 }
 
-TEST_CASE("nothing is published where only the time of warming up runs down") {
-    PollerPlay play;
+TEST_CASE("a change of only the remaining warm-up time is not published") {
+    PollerFixture play;
     play.cloud.pages = {FakeCloud::page(FakeCloud::instance("i-1", "ready", 900))};
     play.poller.start(1);
     play.world.run(Millis(100));
@@ -116,9 +116,9 @@
     CHECK(play.published[1].servers[0].draining);
 }
 
-TEST_CASE("calls stay within a quarter of the rate") {
+TEST_CASE("calls stay within a quarter of the rate limit") {
     for (const double rate : {44.0, 8.0, 2.0}) {
-        PollerPlay play(rate);
+        PollerFixture play(rate);
         play.twoPages();
         play.poller.start(1);
         play.world.run(Millis(60000));
@@ -129,8 +129,8 @@
     }
 }
 
-TEST_CASE("a silent platform is asked again, at most about once a second, and the old list stays") {
-    PollerPlay play;
+TEST_CASE("a platform that does not answer is polled at most about once a second, and the old list stays") {
+    PollerFixture play;
     play.poller.start(1);
     play.world.run(Millis(10));
     play.cloud.silent = true;
@@ -145,8 +145,8 @@
     CHECK(play.published[1].servers[0].uid == "i-9");
 }
 
-TEST_CASE("who no longer leads neither calls nor publishes") {
-    PollerPlay play;
+TEST_CASE("a machine that is no longer the leader neither polls nor publishes") {
+    PollerFixture play;
     play.poller.start(1);
     play.world.run(Millis(1));
     play.leads = false;
@@ -160,7 +160,7 @@
     CHECK(play.published[0].version == ServerListVersion{4, 1});
 }
 
-TEST_CASE("percent-encoding keeps only what may stand in a query") {
+TEST_CASE("percent-encoding keeps only the characters that are allowed in a query") {
     CHECK(percentEncode("aZ09-._~") == "aZ09-._~");
     CHECK(percentEncode("a b&c=d/e+f%") == "a%20b%26c%3Dd%2Fe%2Bf%25");
     CHECK(percentEncode("\xc3\xa9") == "%C3%A9");
--- a/tests/cluster/control_window_test.cpp
+++ b/tests/cluster/control_window_test.cpp
@@ -60,7 +60,7 @@
     for (const std::int64_t generation : unevenGenerations(kChanges)) {
         history.take(generation);
         const std::size_t count = history.changes.size();
-        const std::size_t forgotten = count > kTakenKept ? count - kTakenKept : 0;
+        const std::size_t forgotten = count > kMaxTakenChanges ? count - kMaxTakenChanges : 0;
         for (std::size_t index = 0; index < count; ++index) {
             const ReplaceVerdict expected =
                 index < forgotten ? ReplaceVerdict::forgotten : ReplaceVerdict::taken;
@@ -75,7 +75,7 @@
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::taken);
     const std::int64_t next = history.state.generation + 3;
     history.take(next);
-    CHECK(history.state.taken.size() == kTakenKept);
+    CHECK(history.state.taken.size() == kMaxTakenChanges);
     CHECK(newestForgotten(history.state) == history.changes[0].generation);
     CHECK(history.verdictOf(history.changes[0]) == ReplaceVerdict::forgotten);
     CHECK(history.verdictOf(history.changes[1]) == ReplaceVerdict::taken);
@@ -86,14 +86,14 @@
     const History history(kChanges);
     const std::int64_t current = history.state.generation;
     const std::int64_t forgotten = newestForgotten(history.state);
-    CHECK(forgotten == history.changes[kChanges - kTakenKept - 1].generation);
+    CHECK(forgotten == history.changes[kChanges - kMaxTakenChanges - 1].generation);
     // Not above the current version, although based on it.
     CHECK(history.verdictOf(changeTo(current, current, 9)) == ReplaceVerdict::generation_too_low);
     CHECK(history.verdictOf(changeTo(current - 1, current, 9)) == ReplaceVerdict::generation_too_low);
     CHECK(history.verdictOf(changeTo(1, current, 9)) == ReplaceVerdict::generation_too_low);
     // A conflicting change for each remembered one, with the same or another generation: the base is not the
     // current version.
-    for (std::size_t index = kChanges - kTakenKept; index < history.changes.size(); ++index) {
+    for (std::size_t index = kChanges - kMaxTakenChanges; index < history.changes.size(); ++index) {
         const TakenChange& won = history.changes[index];
         CHECK(history.verdictOf(changeTo(won.generation, won.base, 9)) == ReplaceVerdict::other_base);
         CHECK(history.verdictOf(changeTo(current + 1, won.base, 9)) == ReplaceVerdict::other_base);
@@ -113,7 +113,7 @@
     for (const std::int64_t generation : unevenGenerations(kChanges)) {
         history.take(generation);
         const std::size_t added = encode(history.state).size() - empty;
-        const std::size_t kept = std::min(history.changes.size(), kTakenKept);
+        const std::size_t kept = std::min(history.changes.size(), kMaxTakenChanges);
         CHECK(added == kept * kEncodedChangeBytes);
         largest = std::max(largest, added);
     }
@@ -137,7 +137,7 @@
     }
     const std::int64_t current = generations.back();
     const auto check = [&](CoreMachine& machine) {
-        constexpr int kOldestKept = kChanges - static_cast<int>(kTakenKept);
+        constexpr int kOldestKept = kChanges - static_cast<int>(kMaxTakenChanges);
         CHECK(sim.replace(machine, 0, bodyOf(0)) == 503);
         CHECK(sim.replace(machine, baseOf(kOldestKept - 1), bodyOf(kOldestKept - 1)) == 503);
         CHECK(sim.replace(machine, baseOf(kOldestKept), bodyOf(kOldestKept)) == 200);
--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -65,7 +65,7 @@
         if (absent_) return;
         hear();
         noteAway();
-        if (waitsForPeering(view_)) ask();
+        if (needsPeeringProgress(view_)) ask();
         const auto next = nextView(view_, observe(), rules());
         if (next) publish(*next);
     }
@@ -110,12 +110,12 @@
     }
     ViewRules rules() const {
         ViewRules rules;
-        rules.settled = play_.world.now() - last_change_ >= Millis(3000);
+        rules.old_owners_stopped = play_.world.now() - last_change_ >= Millis(3000);
         rules.peered = isPeered();
         for (const auto& [name, since] : away_since_) {
-            if (play_.world.now() - since >= kDropAfter) rules.long_away.push_back(name);
+            if (play_.world.now() - since >= kDropAfter) rules.long_unavailable.push_back(name);
         }
-        rules.may_even_out = play_.world.now() - last_change_ >= kEvenOutInterval;
+        rules.may_rebalance = play_.world.now() - last_change_ >= kEvenOutInterval;
         rules.moves_gradually = true;
         return rules;
     }
