--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -89,7 +89,7 @@
         REQUIRE(state->status == QueryStatus::found);
         return state->phase;
     }
-    // A configuration without the route of a message ends it.
+    // Marks the messages as ended whose route the configuration no longer has.
     void endUnroutedMessages() {
         for (auto& [id, message] : play.ledger.messages) {
             const bool dropped = !play.configuration->match(message.content.host, message.content.target);
@@ -119,7 +119,7 @@
         stores.setDown("servers", true);
         stores.submit(stores.play.content("lines", "key"));
         stores.play.configure(withService(*stores.play.configuration, "lines", "servers"));
-        stores.submit(stores.play.content("lines", "key"));  // waits for the first one's end
+        stores.submit(stores.play.content("lines", "key"));  // waits for the first message to end
         stores.play.configure(withService(*stores.play.configuration, "lines", "board"));
         stores.submit(stores.play.content("lines", "key"));
         stores.setDown("board", false);
--- a/tests/cluster/control_distribution_test.cpp
+++ b/tests/cluster/control_distribution_test.cpp
@@ -233,7 +233,7 @@
 
 TEST_CASE("answers use at most half of the link, and every watcher is answered") {
     constexpr double kMegabits = 8;
-    constexpr std::size_t kHalfOfLink = 500;  // bytes a millisecond
+    constexpr std::size_t kHalfOfLinkBytesPerMs = 500;
     DistributionFixture play(kMegabits);
     ServerList list = servers(2, 5);
     list.servers.resize(200);
@@ -248,7 +248,7 @@
         for (const auto& answer : answers) {
             if (answer->has_value()) ++count, bytes += (**answer).body.size();
         }
-        CHECK(bytes <= kHalfOfLink * (100 + 10 * step) + (*answers.front())->body.size());
+        CHECK(bytes <= kHalfOfLinkBytesPerMs * (100 + 10 * step) + (*answers.front())->body.size());
         CHECK(count >= answered);
         answered = count;
     }
--- a/tests/cluster/control_narrow_link_test.cpp
+++ b/tests/cluster/control_narrow_link_test.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr double kCoreLink = 86e6 / 8 / 1000;  // bytes a millisecond
-constexpr Millis kStartupTime{14000};          // from the start of the machines to the start of traffic
+constexpr double kCoreLinkBytesPerMs = 86e6 / 8 / 1000;  // 86 Mbit/s
+constexpr Millis kStartupTime{14000};  // from the start of the machines to the start of traffic
 constexpr Millis kDistributionLimit{5000};
 constexpr Millis kReplaceLimit{8000};
 
@@ -23,7 +23,7 @@
 public:
     LargeConfigurationWorld(std::uint64_t seed, std::size_t edges, std::size_t stores) : world(seed, 5) {
         for (auto& machine : world.core) {
-            world.network.link_bytes_per_ms[machine->ip()] = kCoreLink;
+            world.network.link_bytes_per_ms[machine->ip()] = kCoreLinkBytesPerMs;
             machine->settings().limits.link_mbps = 86;
         }
         for (std::size_t i = 0; i < edges + stores; ++i) {
--- a/tests/cluster/control_node_test.cpp
+++ b/tests/cluster/control_node_test.cpp
@@ -333,7 +333,7 @@
     play.world.run(Millis(2000));
     REQUIRE(play.replace(*play.core[0], 0, configurationJson(2)) == 200);
     play.world.run(Millis(1000));
-    // Reached by the edges, but by no other core machine.
+    // The edges can reach it, but no other core machine can.
     play.network.cutBoth(play.core[2]->ip(), play.core[0]->ip());
     play.network.cutBoth(play.core[2]->ip(), play.core[1]->ip());
     play.world.run(Millis(1500));
@@ -384,7 +384,7 @@
 }
 
 TEST_CASE("a new leader removes no store during its observation period") {
-    // The whole core restarts while a store is out of reach of it for a moment.
+    // The whole core restarts, and a store is unreachable for a short time afterwards.
     ControlWorld play(31);
     addEdges(play, 1);
     addStores(play);
--- a/tests/cluster/control_store_view_test.cpp
+++ b/tests/cluster/control_store_view_test.cpp
@@ -280,8 +280,7 @@
 }
 
 TEST_CASE(
-    "a store whose disk fails owns nothing and keeps no copies at once, and comes back like one that was "
-    "away") {
+    "a store whose disk fails loses its partitions and copies at once, and returns when the disk works") {
     const StoreView before = firstView(3);
     const auto observe = [](bool failed) {
         std::vector<StoreObservation> observed{store("s0"), store("s1"), store("s2")};
@@ -294,7 +293,7 @@
     CHECK(without->stores[1].member.disk_failed);
     CHECK(counts(*without) == std::vector<std::size_t>{12, 0, 12});
     for (const PartitionOwner& partition : without->partitions) {
-        // Its process runs on: what it has granted may still be under way.
+        // Its process is still running, so runs that it granted may be under way.
         if (partition.previous == 1) CHECK_FALSE(partition.previous_stopped);
     }
     CHECK_FALSE(nextView(*without, observe(true), kOldOwnersStopped).has_value());
@@ -303,7 +302,7 @@
     CHECK(after->stores[1].keepsCopies());
     CHECK(after->stores[1].joined_epoch == before.stores[1].joined_epoch);
     CHECK(counts(*after)[1] > 0);
-    // A new one does not join before its disk works.
+    // A new store does not join before its disk works.
     StoreObservation fresh = store("s3");
     fresh.member.disk_failed = true;
     CHECK_FALSE(
