--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -31,7 +31,7 @@
         deposed_ = false;
         listening_since_ = last_change_ = stores_.world.now();
         leases_.clear();
-        away_since_.clear();
+        unavailable_since_.clear();
         resetProgress();
     }
     // Removes the leader; there is none until elect().
@@ -50,9 +50,9 @@
     static constexpr Millis kTick{100};
     static constexpr Millis kLeaseTimeout{1000};
     static constexpr Millis kListenTime{1200};
-    static constexpr Millis kDropAfter{4000};
-    static constexpr Millis kAskInterval{250};
-    static constexpr Millis kEvenOutInterval{1000};
+    static constexpr Millis kRemoveUnavailableAfter{4000};
+    static constexpr Millis kPollInterval{250};
+    static constexpr Millis kRebalanceInterval{1000};
 
     void scheduleTick() {
         stores_.world.at(stores_.world.now() + kTick, [self = self_] {
@@ -66,7 +66,7 @@
         if (deposed_) return;
         readLeases();
         recordAbsences();
-        if (waitsForPeering(view_)) askOwners();
+        if (needsPeeringProgress(view_)) askOwners();
         const auto next = nextView(view_, observe(), rules());
         if (next) publish(*next);
     }
@@ -104,19 +104,20 @@
         std::map<std::string, SteadyTime> away;
         for (const StoreMember& store : view_.stores) {
             if (store.alive) continue;
-            const auto known = away_since_.find(store.member.name);
-            away[store.member.name] = known == away_since_.end() ? stores_.world.now() : known->second;
+            const auto known = unavailable_since_.find(store.member.name);
+            away[store.member.name] = known == unavailable_since_.end() ? stores_.world.now() : known->second;
         }
-        away_since_ = std::move(away);
+        unavailable_since_ = std::move(away);
     }
     ViewRules rules() const {
         ViewRules rules;
         rules.settled = stores_.world.now() - last_change_ >= Millis(3000);
         rules.peered = isPeered();
-        for (const auto& [name, since] : away_since_) {
-            if (stores_.world.now() - since >= kDropAfter) rules.long_away.push_back(name);
+        for (const auto& [name, since] : unavailable_since_) {
+            if (stores_.world.now() - since >= kRemoveUnavailableAfter)
+                rules.long_unavailable.push_back(name);
         }
-        rules.may_even_out = stores_.world.now() - last_change_ >= kEvenOutInterval;
+        rules.may_rebalance = stores_.world.now() - last_change_ >= kRebalanceInterval;
         rules.moves_gradually = true;
         return rules;
     }
@@ -136,34 +137,35 @@
         }
     }
     void resetProgress() {
-        done_.clear();
+        peered_owners_.clear();
         next_ask_ = stores_.world.now();
         transport_ =
             std::make_unique<MemoryTransport>(stores_.world, stores_.network, NodeAddress{"10.3.0.1", 7000});
     }
     void askOwners() {
         if (stores_.world.now() < next_ask_) return;
-        next_ask_ = stores_.world.now() + kAskInterval;
+        next_ask_ = stores_.world.now() + kPollInterval;
         std::set<std::int32_t> owners;
         for (const PartitionOwner& partition : view_.partitions) owners.insert(partition.owner);
         for (const std::int32_t owner : owners) {
-            if (owner >= 0) askOwner(view_.stores[static_cast<std::size_t>(owner)].member);
+            if (owner >= 0) pollOwner(view_.stores[static_cast<std::size_t>(owner)].member);
         }
     }
-    void askOwner(const Member& owner) {
-        if (done_.contains(owner.name)) return;
+    void pollOwner(const Member& owner) {
+        if (peered_owners_.contains(owner.name)) return;
         transport_->call(owner.address,
                          envelope(MessageKind::peering_progress, PeeringProgressRequest{view_.epoch}),
                          Millis(400), [this, name = owner.name](const CallResult& result) {
                              if (result.verdict != CallStatus::answered) return;
                              const auto reply = decode<PeeringProgressReply>(result.reply.body);
-                             if (reply && reply->done) done_.insert(name);
+                             if (reply && reply->done) peered_owners_.insert(name);
                          });
     }
     bool isPeered() const {
         return std::all_of(view_.partitions.begin(), view_.partitions.end(), [this](const auto& partition) {
             return partition.owner >= 0 &&
-                   done_.contains(view_.stores[static_cast<std::size_t>(partition.owner)].member.name);
+                   peered_owners_.contains(
+                       view_.stores[static_cast<std::size_t>(partition.owner)].member.name);
         });
     }
 
@@ -175,8 +177,8 @@
     SteadyTime last_change_{};
     SteadyTime next_ask_{};
     std::map<std::string, Lease> leases_;
-    std::map<std::string, SteadyTime> away_since_;
-    std::set<std::string> done_;
+    std::map<std::string, SteadyTime> unavailable_since_;
+    std::set<std::string> peered_owners_;
     std::set<Incarnation> informed_;
     std::unique_ptr<MemoryTransport> transport_;
 };
