--- a/bench/cluster_ring_bench.cpp
+++ b/bench/cluster_ring_bench.cpp
@@ -101,7 +101,7 @@
     std::printf("put and erase, a sync for %d: %.2f us of the process, %.2f us of the store's thread\n",
                 kPutsOfSync, process * kMicrosOfSecond / kPuts, thread * kMicrosOfSecond / kPuts);
     std::printf("segments begun %llu, rewritten %llu records\n",
-                static_cast<unsigned long long>(store.statistics().segments_begun),
+                static_cast<unsigned long long>(store.statistics().segments_started),
                 static_cast<unsigned long long>(store.statistics().records_rewritten));
 }
 
--- a/src/cluster/control/register_voter.cpp
+++ b/src/cluster/control/register_voter.cpp
@@ -29,7 +29,7 @@
 bool RegisterVoter::load() {
     try {
         const bool has_records = loadRecords();
-        if (!disk_.lacksRecords()) return has_records;
+        if (!disk_.hasMissingRecords()) return has_records;
         LOG(ERROR) << "records are missing on disk; this machine votes only after recovery";
         valid_ = false;
         return true;
--- a/src/cluster/storage/inspect.cpp
+++ b/src/cluster/storage/inspect.cpp
@@ -33,7 +33,7 @@
 class Inspector {
 public:
     explicit Inspector(const std::string& directory) {
-        const std::size_t slots = slotsInFolder(directory);
+        const std::size_t slots = slotCountInDirectory(directory);
         for (std::size_t slot = 0; slot < slots; ++slot) {
             files_.push_back(std::make_shared<SegmentFile>(segmentPath(directory, slot)));
         }
@@ -46,7 +46,7 @@
         for (const FoundSegment& found : layout_.released) {
             out << "slot " << found.slot << " generation " << found.header.generation << " released\n";
         }
-        for (const std::size_t slot : layout_.headless) out << "slot " << slot << " no valid header\n";
+        for (const std::size_t slot : layout_.without_header) out << "slot " << slot << " no valid header\n";
         for (const std::size_t slot : layout_.missing) out << "slot " << slot << " no file\n";
         printTotal(out);
     }
@@ -67,7 +67,7 @@
 
     void apply(std::size_t index, const RecordView& record) {
         const std::string key(record.key);
-        forget(key);
+        removeCurrent(key);
         if (record.type == RecordType::erase) {
             ++summaries_[index].erases;
             return;
@@ -78,7 +78,7 @@
         current_[key] = {index, record.bytes};
     }
 
-    void forget(const std::string& key) {
+    void removeCurrent(const std::string& key) {
         const auto found = current_.find(key);
         if (found == current_.end()) return;
         --summaries_[found->second.segment].live_records;
--- a/src/cluster/storage/memory_store.hpp
+++ b/src/cluster/storage/memory_store.hpp
@@ -32,7 +32,7 @@
     // While stalled no sync ends; those that were held up end when the stall does.
     void setStalled(bool stalled) {
         stalled_ = stalled;
-        if (!stalled && resume_) resume_();
+        if (!stalled && on_resume_) on_resume_();
     }
     // Keeps what was synced and a random beginning of what was staged since. Ends the store's use of the
     // disk.
@@ -65,8 +65,8 @@
     void endProcess() {
         if (!in_use_) return;
         in_use_ = false;
-        ++use_;
-        resume_ = nullptr;
+        ++session_;
+        on_resume_ = nullptr;
         staged_.resize(std::uniform_int_distribution<std::size_t>(0, staged_.size())(random_));
     }
     void makeDurable(std::size_t changes) {
@@ -88,8 +88,8 @@
     bool ever_synced_ = false;
     bool stalled_ = false;
     bool in_use_ = false;
-    std::uint64_t use_ = 0;  // of the store that uses the disk; a former user has no effect
-    std::function<void()> resume_;
+    std::uint64_t session_ = 0;  // of the store that uses the disk; a former user has no effect
+    std::function<void()> on_resume_;
 };
 
 // One sync at a time; calls that arrive meanwhile share the next one.
@@ -102,8 +102,8 @@
         records_ = disk_.durable_;
         for (const auto& [key, value] : records_) live_bytes_ += recordSize(key, value);
         disk_.in_use_ = true;
-        use_ = ++disk_.use_;
-        disk_.resume_ = [this] { endSync(); };
+        session_ = ++disk_.session_;
+        disk_.on_resume_ = [this] { endSync(); };
     }
     ~MemoryStore() override {
         if (isCurrent()) disk_.endProcess();
@@ -129,7 +129,7 @@
                 if (!alive.expired()) done(false);
             });
         waiting_.push_back(std::move(done));
-        if (!timer_ && !held_up_) beginSync();
+        if (!timer_ && !sync_overdue_) beginSync();
     }
     std::optional<std::string> read(std::string_view key) const override {
         const auto found = records_.find(key);
@@ -152,7 +152,7 @@
     static std::uint64_t recordSize(std::string_view key, std::string_view value) {
         return kRecordOverhead + key.size() + value.size();
     }
-    bool isCurrent() const { return use_ == disk_.use_; }
+    bool isCurrent() const { return session_ == disk_.session_; }
     bool stagePut(std::string_view key, std::string_view value) {
         if (disk_.refuse_puts) return false;
         const auto found = records_.find(key);
@@ -168,20 +168,20 @@
         if (isCurrent()) disk_.staged_.push_back(std::move(change));
     }
     void beginSync() {
-        serving_ = std::exchange(waiting_, {});
-        covered_ = disk_.staged_.size();
+        in_progress_ = std::exchange(waiting_, {});
+        changes_in_progress_ = disk_.staged_.size();
         timer_ = scheduler_.after(disk_.sync_latency, [this] {
             timer_.reset();
-            held_up_ = true;
+            sync_overdue_ = true;
             endSync();
         });
     }
     void endSync() {
-        if (!held_up_ || disk_.stalled_ || !isCurrent()) return;
-        held_up_ = false;
+        if (!sync_overdue_ || disk_.stalled_ || !isCurrent()) return;
+        sync_overdue_ = false;
         const bool durable = !disk_.fail_syncs;
-        if (durable) disk_.makeDurable(covered_);
-        std::vector<std::function<void(bool)>> served = std::exchange(serving_, {});
+        if (durable) disk_.makeDurable(changes_in_progress_);
+        std::vector<std::function<void(bool)>> served = std::exchange(in_progress_, {});
         if (!durable) {
             std::move(waiting_.begin(), waiting_.end(), std::back_inserter(served));
             waiting_.clear();
@@ -196,12 +196,12 @@
     }
     void setFailed(bool failed) {
         failed_ = failed;
-        if (failed) retryLater();
+        if (failed) scheduleRetry();
         if (on_health_) on_health_(!failed);
     }
-    void retryLater() {
+    void scheduleRetry() {
         retry_timer_ = scheduler_.after(kRetryInterval, [this] {
-            if (disk_.fail_syncs || disk_.stalled_) return retryLater();
+            if (disk_.fail_syncs || disk_.stalled_) return scheduleRetry();
             if (isCurrent()) disk_.makeDurable(disk_.staged_.size());
             setFailed(false);
         });
@@ -211,16 +211,16 @@
     SimulatedDisk& disk_;
     SimulatedDisk::Records records_;
     std::uint64_t live_bytes_ = 0;
-    std::uint64_t use_ = 0;
+    std::uint64_t session_ = 0;
     bool was_empty_ = false;
-    bool failed_ = false;   // a sync failed, and what was staged is not durable yet
-    bool held_up_ = false;  // the sync's time is over, but the disk is stalled
-    std::size_t covered_ = 0;
+    bool failed_ = false;        // a sync failed, and what was staged is not durable yet
+    bool sync_overdue_ = false;  // the sync's time is over, but the disk is stalled
+    std::size_t changes_in_progress_ = 0;
     TimerHandle timer_;
     TimerHandle retry_timer_;
     std::function<void(bool)> on_health_;
     std::vector<std::function<void(bool)>> waiting_;
-    std::vector<std::function<void(bool)>> serving_;
+    std::vector<std::function<void(bool)>> in_progress_;
     const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cluster/storage/open_ring.cpp
+++ b/src/cluster/storage/open_ring.cpp
@@ -9,22 +9,22 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kFirstPause{100};
-constexpr Millis kLongestPause{1000};
+constexpr Millis kInitialRetryDelay{100};
+constexpr Millis kMaxRetryDelay{1000};
 
 }  // namespace
 
 std::unique_ptr<RingStore> openRing(Scheduler& scheduler, const std::string& directory,
                                     const RingOptions& options, const std::function<void(Millis)>& wait) {
-    Millis pause = kFirstPause;
+    Millis delay = kInitialRetryDelay;
     while (true) {
         try {
             return std::make_unique<RingStore>(scheduler, directory, options);
         } catch (const StorageError& error) {
             LOG(ERROR) << "the ring can't be opened and is tried again: " << error.what();
         }
-        wait(pause);
-        pause = std::min(2 * pause, kLongestPause);
+        wait(delay);
+        delay = std::min(2 * delay, kMaxRetryDelay);
     }
 }
 
--- a/src/cluster/storage/record_store.hpp
+++ b/src/cluster/storage/record_store.hpp
@@ -45,7 +45,7 @@
         forEach([&visit](std::string_view key, const std::string&) { visit(key); });
     }
     // Records that were durable are missing, as was seen when the store was opened.
-    virtual bool lacksRecords() const { return false; }
+    virtual bool hasMissingRecords() const { return false; }
     virtual StoreUsage usage() const = 0;
     // True where the data folder held nothing when it was opened.
     virtual bool wasEmpty() const = 0;
--- a/src/cluster/storage/replica.cpp
+++ b/src/cluster/storage/replica.cpp
@@ -74,7 +74,7 @@
         loadReadable(states);
     }
     for (const std::string& value : states) loadState(value);
-    if (disk_.lacksRecords()) doubtAll();
+    if (disk_.hasMissingRecords()) doubtAll();
 }
 
 void Replica::loadRecord(std::string_view key, const std::string& value, std::vector<std::string>& states) {
--- a/src/cluster/storage/ring_layout.cpp
+++ b/src/cluster/storage/ring_layout.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view kPrefix = "segment-";
 constexpr std::string_view kSuffix = ".ring";
-constexpr std::size_t kMostSlots = 100'000;  // a larger number is no name of ours
+constexpr std::size_t kMaxSlots = 100'000;  // a larger number is no name of ours
 
 std::optional<std::size_t> slotOfName(std::string_view name) {
     if (!name.starts_with(kPrefix) || !name.ends_with(kSuffix)) return std::nullopt;
@@ -24,7 +24,7 @@
     std::size_t slot = 0;
     const auto parsed = std::from_chars(digits.data(), digits.data() + digits.size(), slot);
     const bool is_number = parsed.ec == std::errc() && parsed.ptr == digits.data() + digits.size();
-    if (!is_number || slot >= kMostSlots) return std::nullopt;
+    if (!is_number || slot >= kMaxSlots) return std::nullopt;
     return slot;
 }
 
@@ -37,7 +37,7 @@
     return directory + "/" + std::string(kPrefix) + digits + std::string(kSuffix);
 }
 
-std::size_t slotsInFolder(const std::string& directory) {
+std::size_t slotCountInDirectory(const std::string& directory) {
     std::size_t slots = 0;
     std::error_code error;
     std::filesystem::directory_iterator item(directory, error);
@@ -65,7 +65,7 @@
         if (const auto header = readSegmentHeader(reader)) {
             found.push_back({*header, slot});
         } else {
-            layout.headless.push_back(slot);
+            layout.without_header.push_back(slot);
         }
     }
     std::sort(found.begin(), found.end(), [](const FoundSegment& a, const FoundSegment& b) {
--- a/src/cluster/storage/ring_layout.hpp
+++ b/src/cluster/storage/ring_layout.hpp
@@ -13,7 +13,7 @@
 
 std::string segmentPath(const std::string& directory, std::size_t slot);
 // One more than the highest slot that has a file. Throws StorageError.
-std::size_t slotsInFolder(const std::string& directory);
+std::size_t slotCountInDirectory(const std::string& directory);
 
 // A file with a valid header.
 struct FoundSegment {
@@ -22,10 +22,10 @@
 };
 
 struct RingLayout {
-    std::vector<FoundSegment> current;   // by generation, the oldest first
-    std::vector<FoundSegment> released;  // older than what the newest header calls the oldest; void
-    std::vector<std::size_t> headless;   // slots whose file has no valid header
-    std::vector<std::size_t> missing;    // slots without a file
+    std::vector<FoundSegment> current;        // by generation, the oldest first
+    std::vector<FoundSegment> released;       // older than what the newest header calls the oldest; void
+    std::vector<std::size_t> without_header;  // slots whose file has no valid header
+    std::vector<std::size_t> missing;         // slots without a file
 };
 
 enum class FileAccess { read_only, read_write };
--- a/src/cluster/storage/ring_store.cpp
+++ b/src/cluster/storage/ring_store.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 // Current records may take this share of the capacity.
-constexpr double kLiveShare = 0.85;
+constexpr double kMaxLiveShare = 0.85;
 // With putFromReserve(): ends and promises are small.
-constexpr double kLiveShareWithReserve = 0.9;
+constexpr double kMaxLiveShareWithReserve = 0.9;
 // Free segments that putFromReserve() leaves alone, for cleaning and removals.
-constexpr std::size_t kFreeBeyondReserve = 1;
-constexpr std::uint64_t kReserveOfMemory = 2;  // times the limit of put()
+constexpr std::size_t kMinFreeSegmentsForReserve = 1;
+constexpr std::uint64_t kReserveMemoryFactor = 2;  // times the limit of put()
 // Cleaning that can't read a record tries again after this many changes.
-constexpr std::size_t kChangesUntilRead = 64;
-// put() leaves a share of one in this many segments, and kLeastReserved at least, to cleaning and to
+constexpr std::size_t kChangesUntilReadRetry = 64;
+// put() leaves a share of one in this many segments, and kMinReservedSegments at least, to cleaning and to
 // removals, which must always find room.
 constexpr std::size_t kReservedDivisor = 16;
-constexpr std::size_t kLeastReserved = 2;
+constexpr std::size_t kMinReservedSegments = 2;
 // Cleaning rewrites up to this many bytes for each byte appended: while the oldest segment is nearly dead,
 // when free segments are few, and when they are nearly gone.
 constexpr std::size_t kRelaxedCleaningRate = 1;
@@ -41,14 +41,14 @@
 
 std::size_t slotCount(const RingOptions& options) {
     const std::size_t count = options.segment_bytes == 0 ? 0 : options.capacity_bytes / options.segment_bytes;
-    if (count < RingStore::kLeastSegments) {
-        throw std::invalid_argument("ring capacity: fewer than " + std::to_string(RingStore::kLeastSegments) +
+    if (count < RingStore::kMinSegments) {
+        throw std::invalid_argument("ring capacity: fewer than " + std::to_string(RingStore::kMinSegments) +
                                     " segments");
     }
     return count;
 }
 
-std::uint64_t drawSalt() {
+std::uint64_t generateSalt() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
@@ -59,9 +59,9 @@
     : directory_(std::move(directory)),
       options_(options),
       slot_count_(slotCount(options)),
-      reserved_(std::max(kLeastReserved, slot_count_ / kReservedDivisor)),
-      salt_(drawSalt()),
-      writer_(scheduler, {options.segment_bytes, options.retry_interval}, [this](bool healthy) {
+      reserved_segments_(std::max(kMinReservedSegments, slot_count_ / kReservedDivisor)),
+      salt_(generateSalt()),
+      sync_thread_(scheduler, {options.segment_bytes, options.retry_interval}, [this](bool healthy) {
           if (on_health_) on_health_(healthy);
       }) {
     open();
@@ -73,28 +73,28 @@
 
 bool RingStore::put(std::string_view key, std::string_view value) {
     const std::size_t size = recordBytes(key.size(), value.size());
-    if (!takesWrites() || !hasRoomFor(key, size, kLiveShare)) return false;
-    stageRemovals();
+    if (!acceptsWrites() || !hasRoomFor(key, size, kMaxLiveShare)) return false;
+    stagePendingRemovals();
     clean(size);
-    if (!fits(size) && freeSlots() < kLeastReserved) cleanOldestWhole();
-    if (!fits(size) && (freeSlots() <= reserved_ || !beginSegment())) return false;
+    if (!fits(size) && freeSlots() < kMinReservedSegments) cleanOldestSegment();
+    if (!fits(size) && (freeSlots() <= reserved_segments_ || !startSegment())) return false;
     writePut(key, value);
     return true;
 }
 
 bool RingStore::putFromReserve(std::string_view key, std::string_view value) {
     const std::size_t size = recordBytes(key.size(), value.size());
-    if (writer_.bytesInMemory() > kReserveOfMemory * options_.unwritten_limit_bytes) return false;
-    if (!hasRoomFor(key, size, kLiveShareWithReserve)) return false;
+    if (sync_thread_.bytesInMemory() > kReserveMemoryFactor * options_.max_unsynced_bytes) return false;
+    if (!hasRoomFor(key, size, kMaxLiveShareWithReserve)) return false;
     clean(size);
-    if (!fits(size)) cleanInEmergency();
-    if (!fits(size) && (freeSlots() <= kFreeBeyondReserve || !beginSegment())) return false;
+    if (!fits(size)) cleanUntilSegmentsAreFree();
+    if (!fits(size) && (freeSlots() <= kMinFreeSegmentsForReserve || !startSegment())) return false;
     writePut(key, value);
     return true;
 }
 
-bool RingStore::takesWrites() const {
-    return !writer_.failed() && writer_.bytesInMemory() <= options_.unwritten_limit_bytes;
+bool RingStore::acceptsWrites() const {
+    return !sync_thread_.failed() && sync_thread_.bytesInMemory() <= options_.max_unsynced_bytes;
 }
 
 bool RingStore::hasRoomFor(std::string_view key, std::size_t size, double live_share) const {
@@ -107,36 +107,37 @@
 
 void RingStore::writePut(std::string_view key, std::string_view value) {
     const std::uint64_t offset = write(RecordType::put, key, value);
-    setCurrent(key, *active_, offset, value.size());
-    const auto removal = unstaged_removals_.find(key);
-    if (removal != unstaged_removals_.end()) unstaged_removals_.erase(removal);
+    setCurrent(key, *active_segment_, offset, value.size());
+    const auto removal = pending_removals_.find(key);
+    if (removal != pending_removals_.end()) pending_removals_.erase(removal);
 }
 
 void RingStore::erase(std::string_view key) {
     const auto found = index_.find(key);
     if (found == index_.end()) return;
-    unstaged_removals_.emplace(key);
+    pending_removals_.emplace(key);
     unlink(found->second);
     index_.erase(found);
-    stageRemovals();
+    stagePendingRemovals();
 }
 
-void RingStore::stageRemovals() {
-    while (!unstaged_removals_.empty()) {
-        const auto next = unstaged_removals_.begin();
+void RingStore::stagePendingRemovals() {
+    while (!pending_removals_.empty()) {
+        const auto next = pending_removals_.begin();
         const std::size_t size = recordBytes(next->size(), 0);
         clean(size);
-        if (!fits(size)) cleanInEmergency();
-        if (!fits(size) && !beginSegment()) return;
+        if (!fits(size)) cleanUntilSegmentsAreFree();
+        if (!fits(size) && !startSegment()) return;
         write(RecordType::erase, *next, {});
-        unstaged_removals_.erase(next);
+        pending_removals_.erase(next);
     }
 }
 
 void RingStore::sync(std::function<void(bool)> done) {
-    stageRemovals();
-    if (!unstaged_removals_.empty()) writer_.fail(directory_ + ": no segment left for a removal");
-    writer_.sync(std::move(done));
+    stagePendingRemovals();
+    if (!pending_removals_.empty())
+        sync_thread_.fail(directory_ + ": no segment left for a removal");
+    sync_thread_.sync(std::move(done));
 }
 
 std::optional<std::string> RingStore::read(std::string_view key) const {
@@ -151,7 +152,7 @@
         SegmentReader reader(*files_[segment.slot]);
         for (const Entry& entry : segment.live) {
             const std::size_t size = entry.recordSize();
-            const auto in_memory = writer_.readFromMemory(placeOf(segment, entry.offset), size);
+            const auto in_memory = sync_thread_.readFromMemory(placeOf(segment, entry.offset), size);
             auto value = valueOf(entry, in_memory ? *in_memory : reader.at(entry.offset, size));
             // The reader's window may be older than the record.
             visit(*entry.key, value ? *value : readValue(entry));
@@ -193,13 +194,13 @@
     live_bytes_ -= entry.recordSize();
     entry.segment->live.erase(entry.segment->live.iterator_to(entry));
     entry.segment = nullptr;
-    if (unreadable_ == &entry) unreadable_ = nullptr;
+    if (unreadable_entry_ == &entry) unreadable_entry_ = nullptr;
 }
 
 std::string RingStore::readValue(const Entry& entry) const {
     const SyncThread::Place place = placeOf(*entry.segment, entry.offset);
     const std::size_t size = entry.recordSize();
-    const auto in_memory = writer_.readFromMemory(place, size);
+    const auto in_memory = sync_thread_.readFromMemory(place, size);
     auto value = valueOf(entry, in_memory ? *in_memory : place.file->readAt(place.offset, size));
     if (!value) throw StorageError(directory_, "read", "a record is damaged");
     return *std::move(value);
@@ -216,19 +217,19 @@
 }
 
 std::uint64_t RingStore::write(RecordType type, std::string_view key, std::string_view value) {
-    scratch_.clear();
-    appendRecord(scratch_, active_->checksum_seed, type, ++last_sequence_, key, value);
-    const std::uint64_t offset = active_->used_bytes;
-    writer_.append(placeOf(*active_, offset), scratch_);
-    active_->used_bytes += scratch_.size();
+    encode_buffer_.clear();
+    appendRecord(encode_buffer_, active_segment_->checksum_seed, type, ++last_sequence_, key, value);
+    const std::uint64_t offset = active_segment_->used_bytes;
+    sync_thread_.append(placeOf(*active_segment_, offset), encode_buffer_);
+    active_segment_->used_bytes += encode_buffer_.size();
     return offset;
 }
 
 bool RingStore::fits(std::size_t record_bytes) const {
-    return active_ != nullptr && active_->used_bytes + record_bytes <= options_.segment_bytes;
+    return active_segment_ != nullptr && active_segment_->used_bytes + record_bytes <= options_.segment_bytes;
 }
 
-bool RingStore::beginSegment() {
+bool RingStore::startSegment() {
     releaseDeadSegments();
     const auto slot = takeFreeSlot();
     if (!slot) return false;
@@ -238,12 +239,12 @@
     segment.header.oldest_generation = segments_.front().header.generation;
     segment.header.salt = XXH64(&last_generation_, sizeof last_generation_, salt_);
     segment.checksum_seed = segment.header.checksumSeed();
-    scratch_.clear();
-    appendSegmentHeader(scratch_, segment.header);
-    writer_.append(placeOf(segment, 0), scratch_);
-    segment.used_bytes = scratch_.size();
-    active_ = &segment;
-    ++statistics_.segments_begun;
+    encode_buffer_.clear();
+    appendSegmentHeader(encode_buffer_, segment.header);
+    sync_thread_.append(placeOf(segment, 0), encode_buffer_);
+    segment.used_bytes = encode_buffer_.size();
+    active_segment_ = &segment;
+    ++statistics_.segments_started;
     return true;
 }
 
@@ -258,21 +259,21 @@
         unused_slots_.pop_back();
         return slot;
     }
-    if (files_.size() >= most_files_) return std::nullopt;
+    if (files_.size() >= max_files_) return std::nullopt;
     return addFile();
 }
 
 void RingStore::releaseDeadSegments() {
-    while (!segments_.empty() && !oldestIsActive() && segments_.front().live.empty()) {
+    while (!segments_.empty() && !isOldestActive() && segments_.front().live.empty()) {
         released_slots_.push_back(segments_.front().slot);
         segments_.pop_front();
     }
 }
 
 void RingStore::clean(std::size_t appended_bytes) {
-    if (changes_until_read_ > 0) --changes_until_read_;
+    if (changes_until_read_retry_ > 0) --changes_until_read_retry_;
     releaseDeadSegments();
-    if (!takesWrites()) return;
+    if (!acceptsWrites()) return;
     const std::size_t rate = cleaningRate();
     if (rate == 0) {
         cleaning_credit_ = 0;
@@ -282,18 +283,18 @@
         std::min<std::size_t>(cleaning_credit_ + rate * appended_bytes, options_.segment_bytes);
     while (cleaningRate() != 0) {
         const std::size_t size = segments_.front().live.front().recordSize();
-        const bool may_begin_segment = freeSlots() >= kLeastReserved;
-        if (size > cleaning_credit_ || (!fits(size) && !may_begin_segment)) return;
-        if (!rewriteFirstOfOldest()) return;
+        const bool may_start_segment = freeSlots() >= kMinReservedSegments;
+        if (size > cleaning_credit_ || (!fits(size) && !may_start_segment)) return;
+        if (!rewriteOldestLiveRecord()) return;
         cleaning_credit_ -= size;
         releaseDeadSegments();
     }
 }
 
 std::size_t RingStore::cleaningRate() const {
-    if (segments_.empty() || oldestIsActive() || cleaningIsBlocked()) return 0;
-    if (freeSlots() <= reserved_ + 1) return kUrgentCleaningRate;
-    if (freeSlots() <= reserved_ + 1 + slot_count_ / kFewFreeDivisor) return kBusyCleaningRate;
+    if (segments_.empty() || isOldestActive() || cleaningIsBlocked()) return 0;
+    if (freeSlots() <= reserved_segments_ + 1) return kUrgentCleaningRate;
+    if (freeSlots() <= reserved_segments_ + 1 + slot_count_ / kFewFreeDivisor) return kBusyCleaningRate;
     const bool nearly_dead = segments_.front().live_bytes <= options_.segment_bytes / kNearlyDeadDivisor;
     const std::uint64_t ring_bytes = segments_.size() * std::uint64_t{options_.segment_bytes};
     const bool ring_is_long = ring_bytes > 2 * live_bytes_ + kShortRingSegments * options_.segment_bytes;
@@ -301,42 +302,42 @@
 }
 
 // With one free segment left, what is current in the oldest one always fits into that.
-void RingStore::cleanOldestWhole() {
-    if (segments_.empty() || oldestIsActive()) return;
+void RingStore::cleanOldestSegment() {
+    if (segments_.empty() || isOldestActive()) return;
     const Segment* oldest = &segments_.front();
     while (&segments_.front() == oldest && !oldest->live.empty()) {
-        if (!rewriteFirstOfOldest()) return;
+        if (!rewriteOldestLiveRecord()) return;
     }
     releaseDeadSegments();
 }
 
 // Removals that outran cleaning: at most once around the ring, until a segment was gained.
-void RingStore::cleanInEmergency() {
-    std::size_t left = segments_.size();
-    while (freeSlots() < kLeastReserved && left > 0 && takesWrites()) {
-        cleanOldestWhole();
-        --left;
+void RingStore::cleanUntilSegmentsAreFree() {
+    std::size_t attempts_left = segments_.size();
+    while (freeSlots() < kMinReservedSegments && attempts_left > 0 && acceptsWrites()) {
+        cleanOldestSegment();
+        --attempts_left;
     }
 }
 
 bool RingStore::cleaningIsBlocked() const {
-    return unreadable_ != nullptr && changes_until_read_ > 0;
+    return unreadable_entry_ != nullptr && changes_until_read_retry_ > 0;
 }
 
-bool RingStore::rewriteFirstOfOldest() {
+bool RingStore::rewriteOldestLiveRecord() {
     if (cleaningIsBlocked()) return false;
     Entry& entry = segments_.front().live.front();
     const std::size_t size = entry.recordSize();
-    if (!fits(size) && !beginSegment()) return false;
+    if (!fits(size) && !startSegment()) return false;
     try {
         const std::string value = readValue(entry);
         const std::uint64_t offset = write(RecordType::put, *entry.key, value);
         unlink(entry);
-        link(entry, *active_, offset, value.size());
+        link(entry, *active_segment_, offset, value.size());
     } catch (const StorageError& error) {
         LOG(ERROR) << "the oldest segment can't be given back: " << error.what();
-        unreadable_ = &entry;
-        changes_until_read_ = kChangesUntilRead;
+        unreadable_entry_ = &entry;
+        changes_until_read_retry_ = kChangesUntilReadRetry;
         return false;
     }
     ++statistics_.records_rewritten;
--- a/src/cluster/storage/ring_store.hpp
+++ b/src/cluster/storage/ring_store.hpp
@@ -35,13 +35,13 @@
     std::uint32_t segment_bytes = 1024 * 1024;  // of each file; no record is larger; better not changed later
     // put() refuses while this much is in memory only, so that a stalled disk doesn't fill the memory;
     // putFromReserve() at twice as much.
-    std::uint64_t unwritten_limit_bytes = 16 * 1024 * 1024;
+    std::uint64_t max_unsynced_bytes = 16 * 1024 * 1024;
     Millis retry_interval{250};  // of a disk that fails
 };
 
 // Counters of a ring since it was opened.
 struct RingStatistics {
-    std::uint64_t segments_begun = 0;
+    std::uint64_t segments_started = 0;
     std::uint64_t records_rewritten = 0;  // by cleaning
     std::uint64_t bytes_rewritten = 0;
 };
@@ -49,7 +49,7 @@
 class RingStore : public RecordStore {
 public:
     // Opens the ring in `directory`, which is created if need be; waits for the disk. Throws StorageError if
-    // the disk refuses, std::invalid_argument if the options leave fewer than kLeastSegments segments.
+    // the disk refuses, std::invalid_argument if the options leave fewer than kMinSegments segments.
     RingStore(Scheduler& scheduler, std::string directory, RingOptions options);
     ~RingStore() override;
 
@@ -62,15 +62,15 @@
     void forEach(
         const std::function<void(std::string_view key, const std::string& value)>& visit) const override;
     void forEachKey(const std::function<void(std::string_view key)>& visit) const override;
-    bool lacksRecords() const override { return lacks_records_; }
+    bool hasMissingRecords() const override { return has_missing_records_; }
     StoreUsage usage() const override;
     bool wasEmpty() const override { return was_empty_; }
-    bool healthy() const override { return !writer_.failed(); }
+    bool healthy() const override { return !sync_thread_.failed(); }
     void onHealthChange(std::function<void(bool)> listener) override { on_health_ = std::move(listener); }
 
     const RingStatistics& statistics() const { return statistics_; }
 
-    static constexpr std::size_t kLeastSegments = 6;
+    static constexpr std::size_t kMinSegments = 6;
 
 private:
     struct Segment;
@@ -110,7 +110,7 @@
     void load(const FoundSegment& found);
     void apply(Segment& segment, std::uint64_t offset, const RecordView& record);
     void makeDurable(const Segment& newest);
-    bool findsGaps() const;
+    bool hasGaps() const;
 
     // The index.
     void setCurrent(std::string_view key, Segment& segment, std::uint64_t offset, std::size_t value_bytes);
@@ -123,52 +123,54 @@
     // Space.
     bool fits(std::size_t record_bytes) const;
     // Neither fails nor has that much in memory only.
-    bool takesWrites() const;
+    bool acceptsWrites() const;
     bool hasRoomFor(std::string_view key, std::size_t size, double live_share) const;
     void writePut(std::string_view key, std::string_view value);
     // Removals that found no segment, as a failing disk can't be cleaned.
-    void stageRemovals();
+    void stagePendingRemovals();
     std::size_t freeSlots() const { return released_slots_.size() + unused_slots_.size(); }
     std::optional<std::size_t> takeFreeSlot();
-    bool beginSegment();
+    bool startSegment();
     void releaseDeadSegments();
     void clean(std::size_t appended_bytes);
     std::size_t cleaningRate() const;
-    void cleanOldestWhole();
-    void cleanInEmergency();
-    bool rewriteFirstOfOldest();
+    void cleanOldestSegment();
+    void cleanUntilSegmentsAreFree();
+    bool rewriteOldestLiveRecord();
     // The first current record of the oldest segment can't be read; it is tried again some changes later.
     bool cleaningIsBlocked() const;
     std::uint64_t write(RecordType type, std::string_view key, std::string_view value);
-    bool oldestIsActive() const { return active_ != nullptr && active_ == &segments_.front(); }
+    bool isOldestActive() const {
+        return active_segment_ != nullptr && active_segment_ == &segments_.front();
+    }
     SyncThread::Place placeOf(const Segment& segment, std::uint64_t offset) const;
 
     const std::string directory_;
     const RingOptions options_;
-    const std::size_t slot_count_;  // by the capacity
-    std::size_t most_files_ = 0;    // a few more, for where crashes left no free file
-    const std::size_t reserved_;    // free segments that put() leaves alone
+    const std::size_t slot_count_;         // by the capacity
+    std::size_t max_files_ = 0;            // a few more, for where crashes left no free file
+    const std::size_t reserved_segments_;  // free segments that put() leaves alone
     bool was_empty_ = false;
-    bool lacks_records_ = false;
+    bool has_missing_records_ = false;
 
     std::vector<std::shared_ptr<SegmentFile>> files_;  // by slot; more than slot_count_ after trouble
     std::deque<std::size_t> released_slots_;  // of segments that are void; the oldest is reused first
     std::vector<std::size_t> unused_slots_;   // whose files don't exist yet
     std::deque<Segment> segments_;            // the oldest first
-    Segment* active_ = nullptr;               // the newest, once this process has begun one
+    Segment* active_segment_ = nullptr;       // the newest, once this process has begun one
     Index index_;
     std::uint64_t live_bytes_ = 0;
     std::uint64_t last_generation_ = 0;
     std::uint64_t last_sequence_ = 0;
     std::uint64_t salt_ = 0;
     std::size_t cleaning_credit_ = 0;  // bytes that cleaning may still rewrite
-    const Entry* unreadable_ = nullptr;
-    std::size_t changes_until_read_ = 0;  // before it is tried again
-    std::string scratch_;
+    const Entry* unreadable_entry_ = nullptr;
+    std::size_t changes_until_read_retry_ = 0;  // before it is tried again
+    std::string encode_buffer_;
     RingStatistics statistics_;
-    std::set<std::string, std::less<>> unstaged_removals_;
+    std::set<std::string, std::less<>> pending_removals_;
     std::function<void(bool)> on_health_;
-    SyncThread writer_;
+    SyncThread sync_thread_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/storage/ring_store_open.cpp
+++ b/src/cluster/storage/ring_store_open.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kExtraFiles = 2;
 
 // False: the disk is full. The folder is then created with the first segment.
-bool createFolderWherePossible(const std::string& directory) {
+bool createDirectoryUnlessFull(const std::string& directory) {
     std::error_code error;
     std::filesystem::create_directories(directory, error);
     if (error == std::errc::no_space_on_device) return std::filesystem::exists(directory);
@@ -30,20 +30,21 @@
 }  // namespace
 
 void RingStore::open() {
-    const bool has_folder = createFolderWherePossible(directory_);
-    const std::size_t slots = has_folder ? std::max(slot_count_, slotsInFolder(directory_)) : slot_count_;
+    const bool has_folder = createDirectoryUnlessFull(directory_);
+    const std::size_t slots =
+        has_folder ? std::max(slot_count_, slotCountInDirectory(directory_)) : slot_count_;
     while (files_.size() < slots) addFile();
     const RingLayout layout = readLayout(files_, FileAccess::read_write);
-    released_slots_.assign(layout.headless.begin(), layout.headless.end());
+    released_slots_.assign(layout.without_header.begin(), layout.without_header.end());
     for (const FoundSegment& segment : layout.released) released_slots_.push_back(segment.slot);
     unused_slots_.assign(layout.missing.rbegin(), layout.missing.rend());
     was_empty_ = layout.current.empty();
-    most_files_ = std::max(slot_count_, layout.current.size()) + kExtraFiles;
+    max_files_ = std::max(slot_count_, layout.current.size()) + kExtraFiles;
     if (was_empty_) return;
     for (const FoundSegment& segment : layout.current) load(segment);
     const FoundSegment& newest = layout.current.back();
-    lacks_records_ = findsGaps();
-    if (lacks_records_) LOG(ERROR) << directory_ << ": records are missing or damaged";
+    has_missing_records_ = hasGaps();
+    if (has_missing_records_) LOG(ERROR) << directory_ << ": records are missing or damaged";
     makeDurable(segments_.back());
     last_generation_ = newest.header.generation + kGenerationGap;
     last_sequence_ += kSequenceGap;
@@ -61,15 +62,15 @@
         file.writeAt(0, content);
         file.sync();
     } catch (const StorageError& error) {
-        writer_.append(placeOf(newest, 0), content);
-        writer_.fail(error.what());
+        sync_thread_.append(placeOf(newest, 0), content);
+        sync_thread_.fail(error.what());
     }
 }
 
 // Within the life of a process, generations and sequences rise by one. A segment is synced before the next
 // one is begun, so only the last one of a life may end early. So may the oldest: once it is void, its file is
 // given to a new segment, of which a loss of power may leave the records and not the header.
-bool RingStore::findsGaps() const {
+bool RingStore::hasGaps() const {
     for (std::size_t i = 1; i < segments_.size(); ++i) {
         const Segment& before = segments_[i - 1];
         const Segment& after = segments_[i];
--- a/src/cluster/storage/segment_file.cpp
+++ b/src/cluster/storage/segment_file.cpp
@@ -54,17 +54,17 @@
 
 void SegmentFile::prepare(std::uint64_t bytes) {
     if (!openExisting()) {
-        createParentFolder();
+        createParentDirectory();
         descriptor_ = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
         if (descriptor_ < 0) throw StorageError::fromErrno(path_, "create");
-        name_lasts_ = false;
+        directory_synced_ = false;
     }
-    if (!has_length_ || this->bytes() != bytes) setLength(bytes);
-    if (!name_lasts_) syncFolder();
-    name_lasts_ = true;
+    if (!is_allocated_ || this->bytes() != bytes) allocate(bytes);
+    if (!directory_synced_) syncDirectory();
+    directory_synced_ = true;
 }
 
-void SegmentFile::createParentFolder() const {
+void SegmentFile::createParentDirectory() const {
     std::error_code error;
     std::filesystem::create_directories(std::filesystem::path(path_).parent_path(), error);
     if (error) throw StorageError(path_, "create folder", error.message());
@@ -78,18 +78,18 @@
     if (::dup3(fresh.get(), descriptor_, O_CLOEXEC) < 0) throw StorageError::fromErrno(path_, "reopen");
 }
 
-void SegmentFile::setLength(std::uint64_t bytes) {
+void SegmentFile::allocate(std::uint64_t bytes) {
     const auto length = static_cast<off_t>(bytes);
-    has_length_ = false;
+    is_allocated_ = false;
     if (::ftruncate(descriptor_, length) != 0) throw StorageError::fromErrno(path_, "set length");
     // Reserving the blocks is a courtesy: a file system that can't do it still has the length.
     if (::fallocate(descriptor_, 0, 0, length) != 0 && errno == ENOSPC) {
         throw StorageError::fromErrno(path_, "reserve");
     }
-    has_length_ = true;
+    is_allocated_ = true;
 }
 
-void SegmentFile::syncFolder() const {
+void SegmentFile::syncDirectory() const {
     const std::string folder = std::filesystem::path(path_).parent_path().string();
     const ScopedDescriptor descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (descriptor.get() < 0 || ::fsync(descriptor.get()) != 0) {
--- a/src/cluster/storage/segment_file.hpp
+++ b/src/cluster/storage/segment_file.hpp
@@ -37,15 +37,15 @@
 
 private:
     bool open(int flags);
-    void createParentFolder() const;
-    void setLength(std::uint64_t bytes);
-    void syncFolder() const;
+    void createParentDirectory() const;
+    void allocate(std::uint64_t bytes);
+    void syncDirectory() const;
 
     const std::string path_;
     std::atomic<int> descriptor_{-1};
     // Of the thread that writes:
-    bool has_length_ = true;  // as far as prepare() has to care
-    bool name_lasts_ = true;
+    bool is_allocated_ = true;  // as far as prepare() has to care
+    bool directory_synced_ = true;
 };
 
 // Reads a file through a window, so that walking over it takes few system calls.
--- a/src/cluster/storage/sync_thread.cpp
+++ b/src/cluster/storage/sync_thread.cpp
@@ -16,12 +16,12 @@
 // and synced once this much has been written, so that it need not stay in memory.
 constexpr std::uint64_t kSyncBehindBytes = 4 * 1024 * 1024;
 // The pause between attempts doubles this often at most, so that a disk that takes writes again is used soon.
-constexpr int kMostDoublings = 2;
-// The watch looks this often within the stall limit. Looks count, not time: where the whole process stood
-// still, the disk is not to blame.
-constexpr int kLooksPerStall = 7;
+constexpr int kMaxDoublings = 2;
+// The scheduleStallCheck looks this often within the stall limit. Looks count, not time: where the whole
+// process stood still, the disk is not to blame.
+constexpr int kChecksPerStallLimit = 7;
 // A disk that fails again within this time is not tried sooner than at its last failure.
-constexpr std::chrono::seconds kWorksForGood{10};
+constexpr std::chrono::seconds kStablePeriod{10};
 
 }  // namespace
 
@@ -51,19 +51,19 @@
 void SyncThread::sync(SyncCallback done) {
     {
         const std::lock_guard lock(mutex_);
-        if (failed_) return finish({std::move(done)}, false);
-        const bool all_durable = queued_.empty() && kept_.empty() && !busy_;
-        if (all_durable) return finish({std::move(done)}, true);
+        if (failed_) return postCallbacks({std::move(done)}, false);
+        const bool all_durable = queued_.empty() && unsynced_.empty() && !busy_;
+        if (all_durable) return postCallbacks({std::move(done)}, true);
         waiting_.push_back(std::move(done));
         wake();
     }
-    watch();
+    scheduleStallCheck();
 }
 
-void SyncThread::watch() {
-    if (watch_timer_) return;
-    watch_timer_ = scheduler_.after(options_.stall_limit / kLooksPerStall, [this] {
-        watch_timer_.reset();
+void SyncThread::scheduleStallCheck() {
+    if (stall_timer_) return;
+    stall_timer_ = scheduler_.after(options_.stall_limit / kChecksPerStallLimit, [this] {
+        stall_timer_.reset();
         checkStall();
     });
 }
@@ -71,23 +71,23 @@
 void SyncThread::checkStall() {
     {
         const std::lock_guard lock(mutex_);
-        if (failed_ || !isAwaited()) return;
-        const bool same_pass = busy_ && pass_ == watched_pass_;
-        stalled_looks_ = same_pass ? stalled_looks_ + 1 : 0;
-        watched_pass_ = pass_;
-        if (stalled_looks_ >= kLooksPerStall) {
-            stalled_looks_ = 0;
-            beginFailure("a write or sync does not return");
-            finish(std::exchange(serving_, {}), false);
-            return finish(std::exchange(waiting_, {}), false);
+        if (failed_ || !hasWaiters()) return;
+        const bool same_pass = busy_ && pass_ == checked_pass_;
+        stalled_checks_ = same_pass ? stalled_checks_ + 1 : 0;
+        checked_pass_ = pass_;
+        if (stalled_checks_ >= kChecksPerStallLimit) {
+            stalled_checks_ = 0;
+            enterFailedState("a write or sync does not return");
+            postCallbacks(std::exchange(in_progress_, {}), false);
+            return postCallbacks(std::exchange(waiting_, {}), false);
         }
     }
-    watch();
+    scheduleStallCheck();
 }
 
 std::optional<std::string> SyncThread::readFromMemory(const Place& place, std::size_t size) const {
     const std::lock_guard lock(mutex_);
-    for (const auto* chunks : {&queued_, &kept_}) {
+    for (const auto* chunks : {&queued_, &unsynced_}) {
         for (const Chunk& chunk : *chunks) {
             if (chunk.place.generation != place.generation || place.offset < chunk.place.offset) continue;
             const std::uint64_t start = place.offset - chunk.place.offset;
@@ -110,26 +110,26 @@
 void SyncThread::fail(const std::string& reason) {
     const std::lock_guard lock(mutex_);
     if (stopping_) return;
-    beginFailure(reason);
-    if (!busy_) finish(std::exchange(waiting_, {}), false);
+    enterFailedState(reason);
+    if (!busy_) postCallbacks(std::exchange(waiting_, {}), false);
     wake();
 }
 
 // Called under the mutex.
 void SyncThread::wake() {
-    work_wanted_ = true;
+    has_work_ = true;
     if (!thread_.joinable()) thread_ = std::thread([this] { run(); });
     if (!busy_) work_arrived_.notify_one();
 }
 
 void SyncThread::run() {
     std::unique_lock lock(mutex_);
-    while (awaitWork(lock)) {
-        retries_ = failed_;
-        if (retries_) startOver();
+    while (waitForWork(lock)) {
+        is_retry_ = failed_;
+        if (is_retry_) resetForRewrite();
         takeQueued();
-        serving_ = std::exchange(waiting_, {});
-        const bool sync_wanted = retries_ || !serving_.empty() || bytes_in_memory_ >= kSyncBehindBytes;
+        in_progress_ = std::exchange(waiting_, {});
+        const bool sync_wanted = is_retry_ || !in_progress_.empty() || bytes_in_memory_ >= kSyncBehindBytes;
         busy_ = true;
         ++pass_;
         lock.unlock();
@@ -138,28 +138,28 @@
         const bool quick = std::chrono::steady_clock::now() - began < options_.stall_limit / 2;
         lock.lock();
         busy_ = false;
-        dropDurable();
-        if (!done) beginFailure(failure_);
-        if (done && retries_ && quick) endFailure();
+        discardDurableChunks();
+        if (!done) enterFailedState(failure_reason_);
+        if (done && is_retry_ && quick) leaveFailedState();
         if (stopping_) return;
-        finish(std::exchange(serving_, {}), !failed_);
-        if (failed_) finish(std::exchange(waiting_, {}), false);
+        postCallbacks(std::exchange(in_progress_, {}), !failed_);
+        if (failed_) postCallbacks(std::exchange(waiting_, {}), false);
     }
 }
 
 // Called under the mutex. False: the store ends.
-bool SyncThread::awaitWork(std::unique_lock<std::mutex>& lock) {
+bool SyncThread::waitForWork(std::unique_lock<std::mutex>& lock) {
     if (failed_) {
-        work_arrived_.wait_for(lock, nextPause(), [this] { return stopping_; });
+        work_arrived_.wait_for(lock, nextRetryDelay(), [this] { return stopping_; });
     } else {
-        work_arrived_.wait(lock, [this] { return stopping_ || work_wanted_; });
+        work_arrived_.wait(lock, [this] { return stopping_ || has_work_; });
     }
-    work_wanted_ = false;
+    has_work_ = false;
     return !stopping_;
 }
 
 // All that is not known to be durable is written again.
-void SyncThread::startOver() {
+void SyncThread::resetForRewrite() {
     written_chunks_ = 0;
     dirty_file_.reset();
 }
@@ -167,12 +167,12 @@
 // Called under the mutex.
 void SyncThread::takeQueued() {
     for (Chunk& chunk : queued_) {
-        const bool continues = !kept_.empty() && kept_.size() > written_chunks_ &&
-                               kept_.back().place.generation == chunk.place.generation;
+        const bool continues = !unsynced_.empty() && unsynced_.size() > written_chunks_ &&
+                               unsynced_.back().place.generation == chunk.place.generation;
         if (continues) {
-            kept_.back().bytes += chunk.bytes;
+            unsynced_.back().bytes += chunk.bytes;
         } else {
-            kept_.push_back(std::move(chunk));
+            unsynced_.push_back(std::move(chunk));
         }
     }
     queued_.clear();
@@ -181,21 +181,21 @@
 
 bool SyncThread::writeAndSync(bool sync_wanted) {
     try {
-        while (written_chunks_ < kept_.size()) {
-            write(kept_[written_chunks_]);
+        while (written_chunks_ < unsynced_.size()) {
+            write(unsynced_[written_chunks_]);
             ++written_chunks_;
         }
         if (sync_wanted) syncDirtyFile();
         return true;
     } catch (const StorageError& error) {
-        failure_ = error.what();
+        failure_reason_ = error.what();
         return false;
     }
 }
 
 void SyncThread::write(const Chunk& chunk) {
     if (chunk.place.generation != dirty_generation_) syncDirtyFile();
-    if (!dirty_file_ && retries_) chunk.place.file->reopen();
+    if (!dirty_file_ && is_retry_) chunk.place.file->reopen();
     if (chunk.place.offset == 0) chunk.place.file->prepare(options_.segment_bytes);
     dirty_file_ = chunk.place.file;
     dirty_generation_ = chunk.place.generation;
@@ -211,38 +211,38 @@
 }
 
 // Called under the mutex.
-void SyncThread::dropDurable() {
+void SyncThread::discardDurableChunks() {
     for (std::size_t i = 0; i < durable_chunks_; ++i) {
-        bytes_in_memory_ -= kept_.front().bytes.size();
-        kept_.pop_front();
+        bytes_in_memory_ -= unsynced_.front().bytes.size();
+        unsynced_.pop_front();
     }
     written_chunks_ -= durable_chunks_;
     durable_chunks_ = 0;
 }
 
 // Called under the mutex.
-void SyncThread::beginFailure(const std::string& reason) {
+void SyncThread::enterFailedState(const std::string& reason) {
     if (failed_) return;
     LOG(ERROR) << "the disk fails: " << reason;
-    if (std::chrono::steady_clock::now() - working_since_ >= kWorksForGood) attempts_ = 0;
+    if (std::chrono::steady_clock::now() - healthy_since_ >= kStablePeriod) retry_count_ = 0;
     failed_ = true;
-    tellHealth(false);
+    notifyHealth(false);
 }
 
 // Called under the mutex.
-void SyncThread::endFailure() {
+void SyncThread::leaveFailedState() {
     LOG(WARNING) << "the disk works again; all that was kept in memory is on it";
     failed_ = false;
-    working_since_ = std::chrono::steady_clock::now();
-    tellHealth(true);
+    healthy_since_ = std::chrono::steady_clock::now();
+    notifyHealth(true);
 }
 
-Millis SyncThread::nextPause() {
-    const int doublings = std::min(attempts_++, kMostDoublings);
+Millis SyncThread::nextRetryDelay() {
+    const int doublings = std::min(retry_count_++, kMaxDoublings);
     return options_.retry_interval * (1 << doublings);
 }
 
-void SyncThread::tellHealth(bool healthy) {
+void SyncThread::notifyHealth(bool healthy) {
     scheduler_.post([this, alive = std::weak_ptr<bool>(alive_), healthy] {
         const auto store_alive = alive.lock();
         if (store_alive && *store_alive) on_health_(healthy);
@@ -250,7 +250,7 @@
 }
 
 // Called under the mutex, so that callbacks are posted in call order.
-void SyncThread::finish(std::vector<SyncCallback> callbacks, bool durable) {
+void SyncThread::postCallbacks(std::vector<SyncCallback> callbacks, bool durable) {
     if (callbacks.empty()) return;
     scheduler_.post([alive = std::weak_ptr<bool>(alive_), callbacks = std::move(callbacks), durable] {
         for (const SyncCallback& callback : callbacks) {
--- a/src/cluster/storage/sync_thread.hpp
+++ b/src/cluster/storage/sync_thread.hpp
@@ -78,22 +78,22 @@
 
     void wake();
     // Looks, while somebody waits, whether the pass under way has stalled. On the scheduler's thread.
-    void watch();
+    void scheduleStallCheck();
     void checkStall();
-    bool isAwaited() const { return !waiting_.empty() || !serving_.empty(); }
+    bool hasWaiters() const { return !waiting_.empty() || !in_progress_.empty(); }
     void run();
-    bool awaitWork(std::unique_lock<std::mutex>& lock);
-    void startOver();
+    bool waitForWork(std::unique_lock<std::mutex>& lock);
+    void resetForRewrite();
     void takeQueued();
     bool writeAndSync(bool sync_wanted);
     void write(const Chunk& chunk);
     void syncDirtyFile();
-    void dropDurable();
-    void beginFailure(const std::string& reason);
-    void endFailure();
-    Millis nextPause();
-    void tellHealth(bool healthy);
-    void finish(std::vector<SyncCallback> callbacks, bool durable);
+    void discardDurableChunks();
+    void enterFailedState(const std::string& reason);
+    void leaveFailedState();
+    Millis nextRetryDelay();
+    void notifyHealth(bool healthy);
+    void postCallbacks(std::vector<SyncCallback> callbacks, bool durable);
 
     Scheduler& scheduler_;
     const Options options_;
@@ -104,31 +104,31 @@
     std::condition_variable work_arrived_;
     std::deque<Chunk> queued_;
     // Taken from `queued_`, and not known to be durable. Changed by the worker only, under the mutex.
-    std::deque<Chunk> kept_;
+    std::deque<Chunk> unsynced_;
     std::vector<SyncCallback> waiting_;
-    std::vector<SyncCallback> serving_;  // by the pass under way
+    std::vector<SyncCallback> in_progress_;  // by the pass under way
     std::uint64_t bytes_in_memory_ = 0;
     std::uint64_t queued_bytes_ = 0;
-    bool work_wanted_ = false;
+    bool has_work_ = false;
     bool busy_ = false;
     bool stopping_ = false;
     bool failed_ = false;
     std::uint64_t pass_ = 0;  // counts passes
 
     // Of the scheduler's thread only:
-    std::uint64_t watched_pass_ = 0;
-    int stalled_looks_ = 0;
-    TimerHandle watch_timer_;
+    std::uint64_t checked_pass_ = 0;
+    int stalled_checks_ = 0;
+    TimerHandle stall_timer_;
 
     // Of the worker only:
-    std::size_t written_chunks_ = 0;  // of `kept_`, from its beginning
+    std::size_t written_chunks_ = 0;  // of `unsynced_`, from its beginning
     std::size_t durable_chunks_ = 0;
     std::shared_ptr<SegmentFile> dirty_file_;
     std::uint64_t dirty_generation_ = 0;
-    std::string failure_;
-    bool retries_ = false;  // this pass is an attempt after a failure
-    int attempts_ = 0;      // since the disk last worked for long
-    std::chrono::steady_clock::time_point working_since_{};
+    std::string failure_reason_;
+    bool is_retry_ = false;  // this pass is an attempt after a failure
+    int retry_count_ = 0;    // since the disk last worked for long
+    std::chrono::steady_clock::time_point healthy_since_{};
     std::thread thread_;
 };
 
--- a/tests/cluster/control_disk_test.cpp
+++ b/tests/cluster/control_disk_test.cpp
@@ -4,7 +4,7 @@
 #include <doctest/doctest.h>
 
 #include "tests/cluster/control_world.hpp"
-#include "tests/cluster/disk_plays.hpp"
+#include "tests/cluster/disk_run_count.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -119,7 +119,7 @@
 }  // namespace
 
 TEST_CASE("a disk that fails for four seconds, and the loss of another core machine seven seconds later") {
-    const std::uint64_t plays = diskPlays(60);
+    const std::uint64_t plays = diskRunCount(60);
     const std::size_t broken = playMany(plays);
     MESSAGE(broken << " of " << plays << " plays broken");
     CHECK(broken == 0);
--- a/tests/cluster/control_world.hpp
+++ b/tests/cluster/control_world.hpp
@@ -60,7 +60,7 @@
     StoreUsage usage() const override { return {}; }
     bool wasEmpty() const override { return was_empty_; }
 
-    bool lacksRecords() const override { return lacks_records; }
+    bool hasMissingRecords() const override { return lacks_records; }
 
     bool fails = false;  // syncs, from the next one on
     std::uint64_t syncs = 0;
--- a/tests/cluster/disk_plays.hpp
+++ b/tests/cluster/disk_run_count.hpp
@@ -8,7 +8,7 @@
 
 namespace amberswitch::cluster::simulation {
 
-inline std::uint64_t diskPlays(std::uint64_t ordinary) {
+inline std::uint64_t diskRunCount(std::uint64_t ordinary) {
     const char* const wanted = std::getenv("DISK_PLAYS");
     return wanted == nullptr ? ordinary : std::stoull(wanted);
 }
--- a/tests/cluster/record_store_contract.hpp
+++ b/tests/cluster/record_store_contract.hpp
@@ -77,7 +77,7 @@
     CHECK(store.read("a") == std::string("\0two", 4));
 }
 
-inline void checkKeepsWhatWasSynced(const HarnessFactory& make) {
+inline void checkKeepsSyncedRecords(const HarnessFactory& make) {
     const auto harness = make(2);
     CHECK(harness->store().put("kept", std::string(300, 'k')));
     CHECK(harness->store().put("changed", "before"));
@@ -120,7 +120,7 @@
     for (int i = 0; i < 20; ++i) CHECK(answered[static_cast<std::size_t>(i)] == i);
 }
 
-inline void checkAnswersOnlyLater(const HarnessFactory& make) {
+inline void checkNeverAnswersSynchronously(const HarnessFactory& make) {
     const auto harness = make(5);
     bool answered = false;
     harness->store().sync([&answered](bool) { answered = true; });
@@ -170,10 +170,10 @@
 }
 
 // A sync that failed is never trusted later: what it was for is durable once the store is healthy.
-inline void checkComesBackAfterAFailure(const HarnessFactory& make) {
+inline void checkRecoversAfterFailure(const HarnessFactory& make) {
     const auto harness = make(10);
-    std::vector<bool> told;
-    harness->store().onHealthChange([&told](bool healthy) { told.push_back(healthy); });
+    std::vector<bool> health_changes;
+    harness->store().onHealthChange([&health_changes](bool healthy) { health_changes.push_back(healthy); });
     CHECK(harness->store().put("old", "1"));
     CHECK(harness->store().put("gone", "x"));
     CHECK(harness->syncAndWait());
@@ -183,24 +183,26 @@
         const std::string key = "new" + std::to_string(round);
         CHECK(harness->store().put(key, std::string(200, 'n')));
         CHECK_FALSE(harness->syncAndWait());
-        CHECK(harness->runUntil([&told] { return !told.empty() && !told.back(); }));
+        CHECK(harness->runUntil(
+            [&health_changes] { return !health_changes.empty() && !health_changes.back(); }));
         CHECK(harness->store().putFromReserve("promise", key));
         harness->store().erase("gone");
         harness->runPending();
         harness->setFailing(false);
-        CHECK(harness->runUntil([&told] { return told.back(); }));
+        CHECK(harness->runUntil([&health_changes] { return health_changes.back(); }));
         CHECK(harness->store().healthy());
         CHECK(harness->store().put("after", key));
         CHECK(harness->syncAndWait());
         harness->losePower();
-        harness->store().onHealthChange([&told](bool healthy) { told.push_back(healthy); });
+        harness->store().onHealthChange(
+            [&health_changes](bool healthy) { health_changes.push_back(healthy); });
         CHECK(harness->store().read(key) == std::string(200, 'n'));
         CHECK(harness->store().read("promise") == key);
         CHECK(harness->store().read("after") == key);
         CHECK(harness->store().read("old") == "1");
         CHECK(harness->store().read("gone") == std::nullopt);
     }
-    CHECK(told == std::vector<bool>{false, true, false, true, false, true});
+    CHECK(health_changes == std::vector<bool>{false, true, false, true, false, true});
 }
 
 // Until then, what was answered as durable is there after a loss of power, and nothing that was not staged.
@@ -242,7 +244,7 @@
 }
 
 // Callbacks of a store that is gone never run.
-inline void checkForgetsCallbacksAtItsEnd(const HarnessFactory& make) {
+inline void checkDropsCallbacksOnDestruction(const HarnessFactory& make) {
     const auto harness = make(9);
     bool answered = false;
     CHECK(harness->store().put("a", "1"));
@@ -310,7 +312,7 @@
     CrashModel model;
     for (int round = 0; round < rounds; ++round) {
         CAPTURE(round);
-        const auto life = std::make_shared<CrashModel*>(&model);
+        const auto model_access = std::make_shared<CrashModel*>(&model);
         const auto changes = random() % 120;
         for (std::uint64_t i = 0; i < changes; ++i) {
             const std::string key = "k" + std::to_string(random() % 40);
@@ -324,8 +326,8 @@
                 harness->store().erase(key);
                 if (model.current().contains(key)) model.erase(key);
             } else if (choice == 8) {
-                harness->store().sync([life, count = model.changes()](bool durable) {
-                    if (durable && *life) (*life)->synced(count);
+                harness->store().sync([model_access, count = model.changes()](bool durable) {
+                    if (durable && *model_access) (*model_access)->synced(count);
                 });
             } else {
                 harness->runPending();
@@ -344,8 +346,8 @@
         } else {
             harness->losePower();
         }
-        *life = nullptr;
-        CHECK_FALSE(harness->store().lacksRecords());
+        *model_access = nullptr;
+        CHECK_FALSE(harness->store().hasMissingRecords());
         REQUIRE(model.accept(harness->content()));
     }
 }
@@ -355,7 +357,7 @@
         checkReadsItsWrites(make);
     }
     SUBCASE("keeps what was synced") {
-        checkKeepsWhatWasSynced(make);
+        checkKeepsSyncedRecords(make);
     }
     SUBCASE("is empty after a wipe") {
         checkIsEmptyAfterWipe(make);
@@ -364,7 +366,7 @@
         checkAnswersSyncsInOrder(make);
     }
     SUBCASE("answers a sync only later") {
-        checkAnswersOnlyLater(make);
+        checkNeverAnswersSynchronously(make);
     }
     SUBCASE("waits for a stalled disk") {
         checkWaitsForAStalledDisk(make);
@@ -373,7 +375,7 @@
         checkStaysReadableWhileItFails(make);
     }
     SUBCASE("comes back after a failure") {
-        checkComesBackAfterAFailure(make);
+        checkRecoversAfterFailure(make);
     }
     SUBCASE("a loss of power while it fails") {
         checkPowerLossWhileItFails(make);
@@ -382,7 +384,7 @@
         checkRefusesWhenFull(make);
     }
     SUBCASE("forgets callbacks at its end") {
-        checkForgetsCallbacksAtItsEnd(make);
+        checkDropsCallbacksOnDestruction(make);
     }
     SUBCASE("random crashes") {
         for (std::uint64_t seed = 100; seed < 130; ++seed) checkRandomCrashes(make, seed, 25);
--- a/tests/cluster/ring_failure_test.cpp
+++ b/tests/cluster/ring_failure_test.cpp
@@ -15,26 +15,26 @@
 namespace amberswitch::cluster {
 namespace {
 
-using ring_test::filesIn;
+using ring_test::fileCount;
 using ring_test::keyOf;
 using ring_test::readFile;
 using ring_test::RingHarness;
 using ring_test::smallRing;
 using ring_test::writeFile;
 
-bool comesBack(RingHarness& harness) {
+bool recovers(RingHarness& harness) {
     return harness.runUntil([&harness] { return harness.store().healthy(); });
 }
 
-// The health is told through the scheduler, so that there is something to wait for.
-void listen(RingHarness& harness) {
+// The health is result through the scheduler, so that there is something to wait for.
+void subscribeToHealth(RingHarness& harness) {
     harness.store().onHealthChange([](bool) {});
 }
 
-// Lets the watch of the disk look again and again, until `holds` or many looks are over.
-bool lookUntil(RingHarness& harness, const std::function<bool()>& holds) {
-    constexpr int kMostLooks = 1'000'000;
-    for (int look = 0; look < kMostLooks && !holds(); ++look) {
+// Lets the watch of the disk round again and again, until `holds` or many looks are over.
+bool fireTimersUntil(RingHarness& harness, const std::function<bool()>& holds) {
+    constexpr int kMaxRounds = 1'000'000;
+    for (int round = 0; round < kMaxRounds && !holds(); ++round) {
         harness.fireTimers();
         harness.runPending();
         std::this_thread::yield();
@@ -46,20 +46,20 @@
 
 TEST_CASE("A sync that does not return counts as failed, and all is durable once it has returned") {
     RingHarness harness(21);
-    listen(harness);
+    subscribeToHealth(harness);
     REQUIRE(harness.store().put("before", "1"));
     REQUIRE(harness.syncAndWait());
-    harness.disk().hold();
+    harness.disk().holdSyncs();
     std::optional<bool> durable;
     REQUIRE(harness.store().put("during", "2"));
-    harness.store().sync([&durable](bool told) { durable = told; });
-    REQUIRE(lookUntil(harness, [&durable] { return durable.has_value(); }));
+    harness.store().sync([&durable](bool result) { durable = result; });
+    REQUIRE(fireTimersUntil(harness, [&durable] { return durable.has_value(); }));
     CHECK(durable == false);
     CHECK_FALSE(harness.store().healthy());
     CHECK_FALSE(harness.store().put("refused", "3"));
     CHECK(harness.store().read("during") == "2");
-    harness.disk().release();
-    REQUIRE(comesBack(harness));
+    harness.disk().releaseSyncs();
+    REQUIRE(recovers(harness));
     REQUIRE(harness.store().put("after", "4"));
     REQUIRE(harness.syncAndWait());
     harness.losePower();
@@ -89,7 +89,7 @@
 
 TEST_CASE("A disk that nobody waits for, or that goes on from pass to pass, has not stalled") {
     RingHarness harness(22);
-    listen(harness);
+    subscribeToHealth(harness);
     for (int i = 0; i < 100; ++i) {
         REQUIRE(harness.store().put(keyOf(i), "v"));
         REQUIRE(harness.syncAndWait());
@@ -103,7 +103,7 @@
     for (int before = 1; before <= 3; ++before) {
         CAPTURE(before);
         RingHarness harness(1);
-        listen(harness);
+        subscribeToHealth(harness);
         REQUIRE(harness.store().put("old", std::string(300, 'o')));
         REQUIRE(harness.syncAndWait());
         harness.disk().writes_before_error = before;
@@ -116,7 +116,7 @@
         REQUIRE_FALSE(harness.syncAndWait());
         CHECK(harness.content() == expected);
         harness.disk().write_error = 0;
-        REQUIRE(comesBack(harness));
+        REQUIRE(recovers(harness));
         CHECK(harness.content() == expected);
         harness.losePower();
         CHECK(harness.content() == expected);
@@ -136,7 +136,7 @@
         harness.close();
         harness.disk().write_error = 0;
         harness.open();
-        CHECK_FALSE(harness.store().lacksRecords());
+        CHECK_FALSE(harness.store().hasMissingRecords());
         CHECK(harness.store().read("old") == std::string(300, 'o'));
         const Records found = harness.content();
         for (int i = 1; i < 30; ++i) {
@@ -154,13 +154,13 @@
     std::filesystem::remove_all(harness.directory());
     harness.disk().reserve_error = ENOSPC;
     harness.open();
-    listen(harness);
+    subscribeToHealth(harness);
     CHECK(harness.store().wasEmpty());
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE_FALSE(harness.syncAndWait());
     CHECK_FALSE(harness.store().healthy());
     harness.disk().reserve_error = 0;
-    REQUIRE(comesBack(harness));
+    REQUIRE(recovers(harness));
     harness.losePower();
     CHECK(harness.store().read("a") == "1");
 }
@@ -174,12 +174,12 @@
         harness.failBySyncs(by_syncs);
         harness.setFailing(true);
         harness.restart();
-        listen(harness);
+        subscribeToHealth(harness);
         CHECK_FALSE(harness.store().healthy());
         CHECK(harness.store().read("a") == "1");
         REQUIRE_FALSE(harness.syncAndWait());
         harness.setFailing(false);
-        REQUIRE(comesBack(harness));
+        REQUIRE(recovers(harness));
         harness.losePower();
         CHECK(harness.store().read("a") == "1");
     }
@@ -204,9 +204,9 @@
 TEST_CASE("While the disk fails memory stays bounded, and ends find room after messages have none") {
     RingOptions options = smallRing();
     options.capacity_bytes = 64 * 4096;
-    options.unwritten_limit_bytes = 10'000;
+    options.max_unsynced_bytes = 10'000;
     RingHarness harness(6, options);
-    listen(harness);
+    subscribeToHealth(harness);
     REQUIRE(harness.store().put("kept", "v"));
     REQUIRE(harness.syncAndWait());
     harness.setFailing(true);
@@ -220,7 +220,7 @@
     harness.store().erase("kept");
     const Records expected = harness.content();
     harness.setFailing(false);
-    REQUIRE(comesBack(harness));
+    REQUIRE(recovers(harness));
     CHECK(harness.store().put("goes on", "v"));
     REQUIRE(harness.syncAndWait());
     harness.store().erase("goes on");
@@ -298,7 +298,7 @@
         REQUIRE(harness.syncAndWait());
     }
     harness.restart();
-    CHECK_FALSE(harness.store().lacksRecords());
+    CHECK_FALSE(harness.store().hasMissingRecords());
     harness.close();
     const std::string path = segmentPath(harness.directory(), 1);
     const std::string whole = readFile(path);
@@ -308,12 +308,12 @@
         damaged[at] = static_cast<char>(damaged[at] ^ 1);
         writeFile(path, damaged);
         harness.open();
-        CHECK(harness.store().lacksRecords());
+        CHECK(harness.store().hasMissingRecords());
         harness.close();
     }
     std::filesystem::remove(path);
     harness.open();
-    CHECK(harness.store().lacksRecords());
+    CHECK(harness.store().hasMissingRecords());
 }
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/ring_harness.hpp
+++ b/tests/cluster/ring_harness.hpp
@@ -26,7 +26,7 @@
     return "key" + std::to_string(1000 + number);
 }
 
-inline std::size_t filesIn(const std::string& directory) {
+inline std::size_t fileCount(const std::string& directory) {
     std::size_t count = 0;
     for ([[maybe_unused]] const auto& item : std::filesystem::directory_iterator(directory)) ++count;
     return count;
@@ -42,7 +42,7 @@
     RingStore& ring() { return *store_; }
     const std::string& directory() const { return directory_; }
     void setOptions(RingOptions options) { options_ = options; }
-    WatchedDisk& disk() { return disk_; }
+    FaultInjectingDisk& disk() { return disk_; }
     void restart() override {
         close();
         open();
@@ -57,13 +57,13 @@
         std::filesystem::remove_all(directory_);
         open();
     }
-    void setStalled(bool stalled) override { stalled ? disk_.hold() : disk_.release(); }
+    void setStalled(bool stalled) override { stalled ? disk_.holdSyncs() : disk_.releaseSyncs(); }
     void setFailing(bool failing) override {
-        const int error = failing ? (disk_fails_by_syncs_ ? EIO : ENOSPC) : 0;
-        (disk_fails_by_syncs_ ? disk_.sync_error : disk_.write_error) = error;
+        const int error = failing ? (fails_by_syncs_ ? EIO : ENOSPC) : 0;
+        (fails_by_syncs_ ? disk_.sync_error : disk_.write_error) = error;
     }
     // Whether setFailing() concerns syncs (EIO) or writes (ENOSPC).
-    void failBySyncs(bool by_syncs) { disk_fails_by_syncs_ = by_syncs; }
+    void failBySyncs(bool by_syncs) { fails_by_syncs_ = by_syncs; }
     bool runUntil(const std::function<bool()>& holds) override { return scheduler_.runUntil(holds); }
     void runPending() override { scheduler_.runPosted(); }
     void fireTimers() { scheduler_.fireTimers(); }
@@ -72,12 +72,12 @@
     void open() { store_ = std::make_unique<RingStore>(scheduler_, directory_, options_); }
 
 private:
-    bool disk_fails_by_syncs_ = true;
+    bool fails_by_syncs_ = true;
     RingOptions options_;
     std::mt19937_64 random_;
     TemporaryFolder folder_;
     std::string directory_;
-    WatchedDisk disk_;
+    FaultInjectingDisk disk_;
     ManualScheduler scheduler_;
     std::unique_ptr<RingStore> store_;
 };
--- a/tests/cluster/ring_space_test.cpp
+++ b/tests/cluster/ring_space_test.cpp
@@ -14,7 +14,7 @@
 namespace amberswitch::cluster {
 namespace {
 
-using ring_test::filesIn;
+using ring_test::fileCount;
 using ring_test::keyOf;
 using ring_test::RingHarness;
 using ring_test::smallRing;
@@ -33,10 +33,10 @@
         REQUIRE(harness.store().put(key, expected[key]));
         if (i % 8 == 0) REQUIRE(harness.syncAndWait());
     }
-    CHECK(harness.ring().statistics().segments_begun > 200);
+    CHECK(harness.ring().statistics().segments_started > 200);
     CHECK(harness.ring().statistics().records_rewritten > 60);
     CHECK(harness.content() == expected);
-    CHECK(filesIn(harness.directory()) <= 16);
+    CHECK(fileCount(harness.directory()) <= 16);
     REQUIRE(harness.syncAndWait());
     harness.losePower();
     CHECK(harness.content() == expected);
@@ -52,7 +52,7 @@
         REQUIRE(harness.syncAndWait());
     }
     CHECK(harness.store().read("stays") == std::string(200, 's'));
-    CHECK(filesIn(harness.directory()) <= 10);
+    CHECK(fileCount(harness.directory()) <= 10);
     CHECK(harness.ring().statistics().bytes_rewritten < 1000 * 300 / 20);
 }
 
@@ -102,7 +102,7 @@
     CHECK(harness.content().empty());
     const int again = fill(harness, value_bytes);
     CHECK(again > count * 9 / 10);
-    CHECK(filesIn(harness.directory()) <= 16);
+    CHECK(fileCount(harness.directory()) <= 16);
 }
 
 TEST_CASE("A full ring refuses and goes on serving, and removals make room again") {
@@ -170,15 +170,15 @@
 TEST_CASE("A stalled disk doesn't fill the memory") {
     RingOptions options = smallRing();
     options.capacity_bytes = 64 * 4096;
-    options.unwritten_limit_bytes = 10'000;
+    options.max_unsynced_bytes = 10'000;
     RingHarness harness(15, options);
-    harness.disk().hold();
+    harness.disk().holdSyncs();
     harness.store().sync([](bool) {});
     int taken = 0;
     while (taken < 1000 && harness.store().put(keyOf(taken), std::string(500, 'v'))) ++taken;
     CHECK(taken < 25);
     CHECK(harness.content().size() == static_cast<std::size_t>(taken));
-    harness.disk().release();
+    harness.disk().releaseSyncs();
     REQUIRE(harness.syncAndWait());
     CHECK(harness.store().put("goes on", "v"));
 }
--- a/tests/cluster/ring_store_test.cpp
+++ b/tests/cluster/ring_store_test.cpp
@@ -16,7 +16,7 @@
 namespace amberswitch::cluster {
 namespace {
 
-using ring_test::filesIn;
+using ring_test::fileCount;
 using ring_test::keyOf;
 using ring_test::RingHarness;
 using ring_test::smallRing;
@@ -127,7 +127,7 @@
     for (int i = 0; i < 30; ++i) REQUIRE(harness.store().put(keyOf(i), std::string(400, 'v')));
     REQUIRE(harness.syncAndWait());
     harness.close();
-    REQUIRE(filesIn(harness.directory()) >= 4);
+    REQUIRE(fileCount(harness.directory()) >= 4);
     std::filesystem::remove(segmentPath(harness.directory(), 1));
     harness.open();
     const std::size_t left = harness.content().size();
@@ -177,7 +177,7 @@
         harness.restart();
         REQUIRE(harness.content() == expected);
     }
-    CHECK(filesIn(harness.directory()) < 16);
+    CHECK(fileCount(harness.directory()) < 16);
 }
 
 // As after a loss of power in which the first block of an unsynced segment was lost and the others were not.
@@ -207,7 +207,7 @@
 // The file of the newest segment.
 std::string newestPath(const std::string& directory) {
     std::vector<std::shared_ptr<SegmentFile>> files;
-    for (std::size_t slot = 0; slot < slotsInFolder(directory); ++slot) {
+    for (std::size_t slot = 0; slot < slotCountInDirectory(directory); ++slot) {
         files.push_back(std::make_shared<SegmentFile>(segmentPath(directory, slot)));
     }
     return segmentPath(directory, readLayout(files, FileAccess::read_only).current.back().slot);
@@ -217,7 +217,7 @@
     RingHarness harness(20);
     const auto overwriteUntilSegment = [&harness](std::uint64_t begun) {
         std::string value;
-        while (harness.ring().statistics().segments_begun < begun) {
+        while (harness.ring().statistics().segments_started < begun) {
             value = std::string(500, static_cast<char>('a' + value.size() % 26));
             REQUIRE(harness.store().put("filler", value));
         }
@@ -232,7 +232,7 @@
     overwriteUntilSegment(4);  // takes the file of the first or of the second segment; both are void
     REQUIRE(harness.syncAndWait());
     harness.close();
-    REQUIRE(filesIn(harness.directory()) == 3);
+    REQUIRE(fileCount(harness.directory()) == 3);
     loseHeader(newestPath(harness.directory()));
     harness.open();
     CHECK(harness.content().size() == 1);
@@ -247,7 +247,7 @@
     constexpr std::size_t kBytes = 2 * 1024 * 1024;  // more than is kept in memory without a sync
     const Records expected{{"large", std::string(kBytes, 'v')}};
     REQUIRE(harness.store().put("large", expected.at("large")));
-    REQUIRE(harness.disk().awaitWritten(kBytes));
+    REQUIRE(harness.disk().waitUntilWritten(kBytes));
     REQUIRE(harness.syncAndWait());
     for (int i = 0; i < 8; ++i) {
         harness.losePower();
@@ -296,14 +296,14 @@
     RingHarness harness(13);
     REQUIRE(harness.store().put("first", "1"));
     REQUIRE(harness.syncAndWait());
-    harness.disk().hold();
+    harness.disk().holdSyncs();
     int answered = 0;
     for (int i = 0; i < 100; ++i) {
         REQUIRE(harness.store().put(keyOf(i), "v"));
         harness.store().sync([&answered](bool durable) { answered += durable ? 1 : 0; });
     }
     const std::uint64_t syncs_before = harness.disk().syncs;
-    harness.disk().release();
+    harness.disk().releaseSyncs();
     REQUIRE(harness.runUntil([&answered] { return answered == 100; }));
     // One for what was taken before the hold, one for the rest, and those between segments.
     CHECK(harness.disk().syncs - syncs_before <= 5);
--- a/tests/cluster/ring_test_support.hpp
+++ b/tests/cluster/ring_test_support.hpp
@@ -63,15 +63,15 @@
 };
 
 // Watches the syncs of this process while one exists.
-class WatchedDisk {
+class FaultInjectingDisk {
 public:
-    WatchedDisk() { current() = this; }
-    ~WatchedDisk() { current() = nullptr; }
-    WatchedDisk(const WatchedDisk&) = delete;
-    WatchedDisk& operator=(const WatchedDisk&) = delete;
+    FaultInjectingDisk() { current() = this; }
+    ~FaultInjectingDisk() { current() = nullptr; }
+    FaultInjectingDisk(const FaultInjectingDisk&) = delete;
+    FaultInjectingDisk& operator=(const FaultInjectingDisk&) = delete;
 
-    static WatchedDisk*& current() {
-        static WatchedDisk* watched = nullptr;
+    static FaultInjectingDisk*& current() {
+        static FaultInjectingDisk* watched = nullptr;
         return watched;
     }
 
@@ -85,11 +85,11 @@
     std::atomic<std::uint64_t> syncs{0};
 
     // While held, syncs don't end.
-    void hold() {
+    void holdSyncs() {
         const std::lock_guard lock(mutex_);
         held_ = true;
     }
-    void release() {
+    void releaseSyncs() {
         {
             const std::lock_guard lock(mutex_);
             held_ = false;
@@ -98,12 +98,12 @@
     }
 
     // How much of a write of that size goes through: all of it, or nothing, or a part before it fails.
-    std::size_t admit(std::size_t bytes) {
+    std::size_t admittedBytes(std::size_t bytes) {
         if (write_error == 0) return bytes;
         if (writes_before_error <= 0) return 0;
         return --writes_before_error > 0 ? bytes : bytes / 2;
     }
-    void countWrite(int descriptor, std::size_t offset, std::size_t bytes) {
+    void recordWrite(int descriptor, std::size_t offset, std::size_t bytes) {
         {
             const std::lock_guard lock(mutex_);
             written_bytes_ += bytes;
@@ -117,9 +117,9 @@
         changed_.notify_all();
     }
     // Waits until this much has been written in all; false if that takes long.
-    bool awaitWritten(std::size_t bytes) {
+    bool waitUntilWritten(std::size_t bytes) {
         std::unique_lock lock(mutex_);
-        return changed_.wait_for(lock, kLongestWait, [this, bytes] { return written_bytes_ >= bytes; });
+        return changed_.wait_for(lock, kMaxWait, [this, bytes] { return written_bytes_ >= bytes; });
     }
 
     int sync(int descriptor) {
@@ -168,7 +168,7 @@
     }
 
 private:
-    static constexpr std::chrono::seconds kLongestWait{20};
+    static constexpr std::chrono::seconds kMaxWait{20};
 
     // As the kernel does it, what a failed sync was for counts as written and is never tried again; only
     // bytes that are written anew can become durable.
@@ -226,31 +226,31 @@
 
 // These take the place of the C library's in this test program.
 extern "C" inline __attribute__((used)) int fdatasync(int descriptor) {
-    using amberswitch::cluster::ring_test::WatchedDisk;
-    if (WatchedDisk* disk = WatchedDisk::current()) return disk->sync(descriptor);
+    using amberswitch::cluster::ring_test::FaultInjectingDisk;
+    if (FaultInjectingDisk* disk = FaultInjectingDisk::current()) return disk->sync(descriptor);
     return static_cast<int>(::syscall(SYS_fdatasync, descriptor));
 }
 
 extern "C" inline __attribute__((used)) ssize_t pwrite(int descriptor, const void* bytes, std::size_t size,
                                                        off_t offset) {
-    using amberswitch::cluster::ring_test::WatchedDisk;
-    WatchedDisk* disk = WatchedDisk::current();
-    const std::size_t admitted = disk == nullptr ? size : disk->admit(size);
+    using amberswitch::cluster::ring_test::FaultInjectingDisk;
+    FaultInjectingDisk* disk = FaultInjectingDisk::current();
+    const std::size_t admitted = disk == nullptr ? size : disk->admittedBytes(size);
     if (admitted == 0 && size > 0) {
         errno = disk->write_error;
         return -1;
     }
     const ssize_t written = ::syscall(SYS_pwrite64, descriptor, bytes, admitted, offset);
     if (disk != nullptr && written > 0) {
-        disk->countWrite(descriptor, static_cast<std::size_t>(offset), static_cast<std::size_t>(written));
+        disk->recordWrite(descriptor, static_cast<std::size_t>(offset), static_cast<std::size_t>(written));
     }
     return written;
 }
 
 extern "C" inline __attribute__((used)) ssize_t pread(int descriptor, void* bytes, std::size_t size,
                                                       off_t offset) {
-    using amberswitch::cluster::ring_test::WatchedDisk;
-    const WatchedDisk* const disk = WatchedDisk::current();
+    using amberswitch::cluster::ring_test::FaultInjectingDisk;
+    const FaultInjectingDisk* const disk = FaultInjectingDisk::current();
     if (disk != nullptr && disk->read_error != 0) {
         errno = disk->read_error;
         return -1;
@@ -259,8 +259,8 @@
 }
 
 extern "C" inline __attribute__((used)) int fallocate(int descriptor, int mode, off_t offset, off_t length) {
-    using amberswitch::cluster::ring_test::WatchedDisk;
-    const WatchedDisk* const disk = WatchedDisk::current();
+    using amberswitch::cluster::ring_test::FaultInjectingDisk;
+    const FaultInjectingDisk* const disk = FaultInjectingDisk::current();
     if (disk != nullptr && disk->reserve_error != 0) {
         errno = disk->reserve_error;
         return -1;
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -13,7 +13,7 @@
 
 struct Owner {
     World world{1};
-    Platter platter;
+    DiskState platter;
     SimulatedScheduler scheduler{world};
     FakeDisk disk{world, scheduler, platter};
     StoreClock clock{scheduler};
--- a/tests/cluster/store_replica_test.cpp
+++ b/tests/cluster/store_replica_test.cpp
@@ -16,7 +16,7 @@
 // One machine's disk and the replica of its present process.
 struct Machine {
     World world{1};
-    Platter platter;
+    DiskState platter;
     std::unique_ptr<SimulatedScheduler> scheduler;
     std::unique_ptr<FakeDisk> disk;
     std::unique_ptr<StoreClock> clock;
--- a/tests/cluster/store_replicator_test.cpp
+++ b/tests/cluster/store_replicator_test.cpp
@@ -20,7 +20,7 @@
     MemoryTransport own{world, network, {"10.1.0.1", 7002}};
     std::unique_ptr<MemoryTransport> other =
         std::make_unique<MemoryTransport>(world, network, NodeAddress{"10.1.0.2", 7002});
-    Platter platter;
+    DiskState platter;
     FakeDisk disk{world, scheduler, platter};
     StoreClock clock{scheduler};
     Replica replica{disk, clock, true, Millis(120000)};
--- a/tests/cluster/store_world.hpp
+++ b/tests/cluster/store_world.hpp
@@ -21,7 +21,7 @@
     std::string name;
     std::string zone;
     NodeAddress address;
-    Platter platter;
+    DiskState platter;
     Incarnation incarnation = 0;
     bool disk_empty = false;
     bool disk_failed = false;  // as the leader knows
@@ -218,7 +218,7 @@
     }
     void wipe(StoreMachine& machine) {
         cutPower(machine);
-        machine.platter = Platter();
+        machine.platter = DiskState();
     }
 
     // --- The leader ---
--- a/tests/cluster/store_world_disk.hpp
+++ b/tests/cluster/store_world_disk.hpp
@@ -13,100 +13,100 @@
 namespace amberswitch::cluster::simulation {
 
 // What is on a machine's platter; outlives its processes.
-struct Platter {
+struct DiskState {
     std::map<std::string, std::string, std::less<>> synced;
     bool formatted = false;
     std::uint64_t capacity = 400u << 20;
     bool fails = false;       // syncs, from the next one on
     bool unreadable = false;  // records can't be read
-    bool comes_back = true;   // false: a store that has failed once fails for as long as its process lasts
+    bool recovers = true;     // false: a store that has failed once fails for as long as its process lasts
 };
 
 // The disk as one process sees it. What was staged but not synced is lost with the power.
 class FakeDisk : public RecordStore {
 public:
-    FakeDisk(World& world, Scheduler& scheduler, Platter& platter)
-        : world_(world), scheduler_(scheduler), platter_(platter), seen_(platter.synced) {
+    FakeDisk(World& world, Scheduler& scheduler, DiskState& platter)
+        : world_(world), scheduler_(scheduler), state_(platter), records_(platter.synced) {
         was_empty_ = !platter.formatted;
         platter.formatted = true;
-        for (const auto& [key, value] : seen_) live_ += key.size() + value.size();
+        for (const auto& [key, value] : records_) live_ += key.size() + value.size();
     }
     bool put(std::string_view key, std::string_view value) override {
         return healthy_ && putFromReserve(key, value);
     }
     bool putFromReserve(std::string_view key, std::string_view value) override {
-        if (live_ + key.size() + value.size() > platter_.capacity) return false;
-        forget(key);
+        if (live_ + key.size() + value.size() > state_.capacity) return false;
+        removeCurrent(key);
         live_ += key.size() + value.size();
-        seen_[std::string(key)] = value;
+        records_[std::string(key)] = value;
         staged_.emplace_back(std::string(key), std::string(value));
         return true;
     }
     void erase(std::string_view key) override {
-        forget(key);
+        removeCurrent(key);
         staged_.emplace_back(std::string(key), std::nullopt);
     }
     void sync(std::function<void(bool)> done) override {
-        const std::size_t upto = written_ + staged_.size();
-        const auto span = Millis(1 + static_cast<std::int64_t>(world_.chance() * 6));
-        const SteadyTime at = std::max(last_sync_, world_.now() + span);
+        const std::size_t end = written_ + staged_.size();
+        const auto latency = Millis(1 + static_cast<std::int64_t>(world_.chance() * 6));
+        const SteadyTime at = std::max(last_sync_, world_.now() + latency);
         last_sync_ = at;
-        timers_.push_back(scheduler_.after(std::chrono::ceil<Millis>(at - world_.now()), [this, upto, done] {
-            if (platter_.fails && healthy_) setHealthy(false);
+        timers_.push_back(scheduler_.after(std::chrono::ceil<Millis>(at - world_.now()), [this, end, done] {
+            if (state_.fails && healthy_) setHealthy(false);
             const bool works = healthy_;
-            if (works) writeUpTo(upto);
+            if (works) writeUpTo(end);
             done(works);
         }));
         while (timers_.size() > 500) timers_.pop_front();
     }
     std::optional<std::string> read(std::string_view key) const override {
-        const auto found = seen_.find(key);
-        if (found == seen_.end()) return std::nullopt;
-        if (platter_.unreadable) throw StorageError("disk", "read", "Input/output error");
+        const auto found = records_.find(key);
+        if (found == records_.end()) return std::nullopt;
+        if (state_.unreadable) throw StorageError("disk", "read", "Input/output error");
         return found->second;
     }
     void forEach(const std::function<void(std::string_view, const std::string&)>& visit) const override {
-        for (const auto& [key, value] : seen_) visit(key, value);
+        for (const auto& [key, value] : records_) visit(key, value);
     }
-    StoreUsage usage() const override { return {platter_.capacity, live_}; }
+    StoreUsage usage() const override { return {state_.capacity, live_}; }
     bool wasEmpty() const override { return was_empty_; }
     bool healthy() const override { return healthy_; }
     void onHealthChange(std::function<void(bool)> listener) override { listener_ = std::move(listener); }
 
     // The process ends but the machine goes on: what was staged still reaches the platter.
     void writeAll() {
-        if (!platter_.fails) writeUpTo(written_ + staged_.size());
+        if (!state_.fails) writeUpTo(written_ + staged_.size());
     }
     // The power goes: a part of what was staged may have been written, in its order.
     void losePower() {
-        if (platter_.fails) return;
+        if (state_.fails) return;
         writeUpTo(written_ + static_cast<std::size_t>(world_.chance() * 1.5 * (staged_.size())));
     }
 
 private:
     void setHealthy(bool healthy) {
         healthy_ = healthy;
-        if (!healthy && platter_.comes_back) retryLater();
+        if (!healthy && state_.recovers) scheduleRetry();
         if (listener_) listener_(healthy);
     }
-    void retryLater() {
-        retry_ = scheduler_.after(Millis(250), [this] {
-            if (platter_.fails) return retryLater();
+    void scheduleRetry() {
+        retry_timer_ = scheduler_.after(Millis(250), [this] {
+            if (state_.fails) return scheduleRetry();
             writeUpTo(written_ + staged_.size());
             setHealthy(true);
         });
     }
-    void forget(std::string_view key) {
-        const auto found = seen_.find(key);
-        if (found == seen_.end()) return;
+    void removeCurrent(std::string_view key) {
+        const auto found = records_.find(key);
+        if (found == records_.end()) return;
         live_ -= key.size() + found->second.size();
-        seen_.erase(found);
+        records_.erase(found);
     }
-    void writeUpTo(std::size_t upto) {
-        while (written_ < upto && !staged_.empty()) {
+    void writeUpTo(std::size_t end) {
+        while (written_ < end && !staged_.empty()) {
             auto& [key, value] = staged_.front();
-            if (value) platter_.synced[key] = *value;
-            if (!value) platter_.synced.erase(key);
+            if (value) state_.synced[key] = *value;
+            if (!value) state_.synced.erase(key);
             staged_.pop_front();
             ++written_;
         }
@@ -114,8 +114,8 @@
 
     World& world_;
     Scheduler& scheduler_;
-    Platter& platter_;
-    std::map<std::string, std::string, std::less<>> seen_;
+    DiskState& state_;
+    std::map<std::string, std::string, std::less<>> records_;
     std::deque<std::pair<std::string, std::optional<std::string>>> staged_;
     std::size_t written_ = 0;
     std::uint64_t live_ = 0;
@@ -124,7 +124,7 @@
     bool was_empty_ = false;
     bool healthy_ = true;
     std::function<void(bool)> listener_;
-    TimerHandle retry_;
+    TimerHandle retry_timer_;
 };
 
 }  // namespace amberswitch::cluster::simulation
--- a/tests/history/ring_power_test.cpp
+++ b/tests/history/ring_power_test.cpp
@@ -24,12 +24,13 @@
 
 constexpr std::uint32_t kSegmentBytes = 2048;
 constexpr int kSteps = 90;
-constexpr int kMostChanges = 4;  // between two syncs
+constexpr int kMaxChangesPerSync = 4;  // between two syncs
 
 // A ring in a folder, whose syncs are waited for.
-class RingLife {
+class RingSession {
 public:
-    RingLife(const std::string& folder, const RingOptions& options) : store_(scheduler_, folder, options) {}
+    RingSession(const std::string& folder, const RingOptions& options)
+        : store_(scheduler_, folder, options) {}
     RingStore& store() { return store_; }
     bool sync() {
         std::optional<bool> durable;
@@ -53,8 +54,8 @@
     std::size_t changes = 0;
 };
 
-// A seeded life of a ring: the content after each change, the syncs, and the journal of the disk.
-struct RecordedLife {
+// A seeded run of a ring: the content after each change, the syncs, and the journal of the disk.
+struct RecordedRun {
     RingOptions options;
     std::vector<Content> contents{{}};  // by the number of changes
     std::vector<SyncPoint> syncs{{}};
@@ -75,49 +76,49 @@
     if (store.put(key, value)) content[key] = value;
 }
 
-RecordedLife recordLife(std::uint64_t seed) {
+RecordedRun recordRun(std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    RecordedLife life;
-    life.options.segment_bytes = kSegmentBytes;
-    life.options.capacity_bytes = kSegmentBytes * (7 + seed % 3);
+    RecordedRun run;
+    run.options.segment_bytes = kSegmentBytes;
+    run.options.capacity_bytes = kSegmentBytes * (7 + seed % 3);
     const ScratchFolder folder;
     const std::string path = folder.path() + "/ring";
     DiskJournal journal(path);
-    RingLife ring(path, life.options);
+    RingSession ring(path, run.options);
     for (int step = 0; step < kSteps; ++step) {
-        const auto changes = 1 + random() % kMostChanges;
+        const auto changes = 1 + random() % kMaxChangesPerSync;
         for (std::uint64_t index = 0; index < changes; ++index) {
-            Content next = life.contents.back();
+            Content next = run.contents.back();
             change(ring.store(), random, next);
-            life.contents.push_back(std::move(next));
+            run.contents.push_back(std::move(next));
         }
         REQUIRE(ring.sync());
-        life.syncs.push_back({journal.size(), life.contents.size() - 1});
+        run.syncs.push_back({journal.size(), run.contents.size() - 1});
     }
-    life.statistics = ring.store().statistics();
-    life.steps = journal.steps();
-    return life;
+    run.statistics = ring.store().statistics();
+    run.steps = journal.steps();
+    return run;
 }
 
 // The index of the last sync that had ended after that many steps.
-std::size_t lastSync(const RecordedLife& life, std::size_t steps) {
+std::size_t lastSync(const RecordedRun& run, std::size_t steps) {
     std::size_t last = 0;
-    while (last + 1 < life.syncs.size() && life.syncs[last + 1].disk_steps <= steps) ++last;
+    while (last + 1 < run.syncs.size() && run.syncs[last + 1].disk_steps <= steps) ++last;
     return last;
 }
 
 // Whether each key has the synced value or one that it was given since.
-bool holdsSynced(const RecordedLife& life, const Content& found, std::size_t from, std::size_t to) {
+bool holdsSynced(const RecordedRun& run, const Content& found, std::size_t from, std::size_t to) {
     std::map<std::string, bool> good;
     for (std::size_t index = from; index <= to; ++index) {
-        for (const auto& [key, value] : life.contents[index]) good.try_emplace(key, false);
+        for (const auto& [key, value] : run.contents[index]) good.try_emplace(key, false);
     }
     for (const auto& [key, value] : found) good.try_emplace(key, false);
     for (auto& [key, is_good] : good) {
         const auto now = found.find(key);
         for (std::size_t index = from; index <= to && !is_good; ++index) {
-            const auto then = life.contents[index].find(key);
-            const bool absent = then == life.contents[index].end();
+            const auto then = run.contents[index].find(key);
+            const bool absent = then == run.contents[index].end();
             is_good = absent ? now == found.end() : now != found.end() && now->second == then->second;
         }
         if (!is_good) return false;
@@ -131,19 +132,19 @@
     std::size_t segments = 0;
 };
 
-void checkState(const RecordedLife& life, std::size_t count, PowerLoss loss, std::mt19937_64& random,
+void checkState(const RecordedRun& run, std::size_t count, PowerLoss loss, std::mt19937_64& random,
                 const std::string& folder) {
     CAPTURE(count);
     CAPTURE(static_cast<int>(loss));
-    writeFiles(folder, filesAfter(life.steps, count, kSegmentBytes, loss, random));
-    const std::size_t last = lastSync(life, count);
-    const std::size_t from = life.syncs[last].changes;
-    const std::size_t to = last + 1 < life.syncs.size() ? life.syncs[last + 1].changes : from;
+    writeFiles(folder, filesAfter(run.steps, count, kSegmentBytes, loss, random));
+    const std::size_t last = lastSync(run, count);
+    const std::size_t from = run.syncs[last].changes;
+    const std::size_t to = last + 1 < run.syncs.size() ? run.syncs[last + 1].changes : from;
     Content found;
     {
-        RingLife ring(folder, life.options);
+        RingSession ring(folder, run.options);
         found = ring.content();
-        REQUIRE(holdsSynced(life, found, from, to));
+        REQUIRE(holdsSynced(run, found, from, to));
         if (random() % 4 != 0) return;
         // What was found stays, whatever the next process writes, until it is changed.
         for (int index = 0; index < 12; ++index) {
@@ -152,24 +153,24 @@
             REQUIRE(ring.sync());
         }
     }
-    RingLife again(folder, life.options);
+    RingSession again(folder, run.options);
     REQUIRE(again.content() == found);
 }
 
-void loseAtEachStep(std::uint64_t seed, Totals& totals) {
+void checkPowerLossAtEachStep(std::uint64_t seed, Totals& totals) {
     CAPTURE(seed);
-    const RecordedLife life = recordLife(seed);
+    const RecordedRun run = recordRun(seed);
     std::mt19937_64 random(seed + 1);
     const ScratchFolder folder;
-    for (std::size_t count = 0; count <= life.steps.size(); ++count) {
+    for (std::size_t count = 0; count <= run.steps.size(); ++count) {
         for (const PowerLoss loss :
              {PowerLoss::keeps_all, PowerLoss::tears_last, PowerLoss::keeps_synced, PowerLoss::keeps_some}) {
-            checkState(life, count, loss, random, folder.path() + "/ring");
+            checkState(run, count, loss, random, folder.path() + "/ring");
             ++totals.states;
         }
     }
-    totals.rewritten += life.statistics.records_rewritten;
-    totals.segments += life.statistics.segments_begun;
+    totals.rewritten += run.statistics.records_rewritten;
+    totals.segments += run.statistics.segments_started;
 }
 
 }  // namespace
@@ -177,7 +178,7 @@
 TEST_CASE("power lost after any write or sync of a ring that is being cleaned loses nothing synced") {
     Totals totals;
     const SeedRange seeds = seedRange({1, 6});
-    for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) loseAtEachStep(seed, totals);
+    for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) checkPowerLossAtEachStep(seed, totals);
     MESSAGE(totals.states << " states of the disk, " << totals.segments << " segments begun, "
                           << totals.rewritten << " records rewritten by cleaning");
     CHECK(totals.rewritten > 50 * (seeds.last - seeds.first + 1));
