--- a/src/cluster/storage/inspect.cpp
+++ b/src/cluster/storage/inspect.cpp
@@ -12,21 +12,21 @@
 namespace amberswitch::cluster {
 namespace {
 
-// What one segment holds.
+// Counts of one segment.
 struct SegmentSummary {
     FoundSegment found;
     std::uint64_t puts = 0;
     std::uint64_t erases = 0;
     std::uint64_t live_records = 0;
     std::uint64_t live_bytes = 0;
-    std::uint64_t end = 0;            // where the valid records end
-    bool bad_record_follows = false;  // torn, damaged, or of an earlier use of the file
+    std::uint64_t end = 0;            // offset at which the valid records end
+    bool bad_record_follows = false;  // torn, damaged, or left by an earlier use of the file
 
     std::uint64_t deadBytes() const { return end - kSegmentHeaderBytes - live_bytes; }
 };
 
 struct CurrentRecord {
-    std::size_t segment = 0;  // index of its summary
+    std::size_t segment = 0;  // index in Inspector::summaries_
     std::uint64_t bytes = 0;
 };
 
--- a/src/cluster/storage/memory_store.hpp
+++ b/src/cluster/storage/memory_store.hpp
@@ -1,5 +1,5 @@
-// A record store for tests on the simulated scheduler. The disk is an object of its own that outlives the
-// store, so a process can die and come back with what its disk holds.
+// In-memory record store for tests on the simulated scheduler. The disk is a separate object that outlives
+// the store, so that a test can restart a process on the contents of its disk.
 #pragma once
 
 #include <cstdint>
@@ -19,30 +19,29 @@
 
 namespace amberswitch::cluster {
 
-// The disk of one simulated machine. At most one store uses it at a time.
+// Simulated disk of one machine. At most one store uses it at a time.
 class SimulatedDisk {
 public:
     explicit SimulatedDisk(std::uint64_t seed) : random_(seed) {}
 
     Millis sync_latency{2};
     std::uint64_t capacity_bytes = 64 * 1024 * 1024;
-    bool refuse_puts = false;  // as if full
-    bool fail_syncs = false;   // the store finds out at its next sync, and that it is over by itself
+    bool refuse_puts = false;  // puts fail as on a full disk
+    bool fail_syncs = false;   // the store notices at its next sync, and detects the recovery by retrying
 
-    // While stalled no sync ends; those that were held up end when the stall does.
+    // While stalled no sync completes; pending syncs complete when the stall ends.
     void setStalled(bool stalled) {
         stalled_ = stalled;
         if (!stalled && on_resume_) on_resume_();
     }
-    // Keeps what was synced and a random beginning of what was staged since. Ends the store's use of the
-    // disk.
+    // Keeps all synced changes and a random prefix of the changes staged since. Detaches the store.
     void losePower() {
         endProcess();
         const auto kept = std::uniform_int_distribution<std::size_t>(0, staged_.size())(random_);
         makeDurable(kept);
         staged_.clear();
     }
-    // An empty disk takes the place of this one.
+    // Erases the disk, as if it had been replaced by an empty one. Detaches the store.
     void wipe() {
         endProcess();
         staged_.clear();
@@ -54,14 +53,14 @@
 private:
     friend class MemoryStore;
     using Records = std::map<std::string, std::string, std::less<>>;
-    // A put, or the removal of a key where there is no value.
+    // A put, or the removal of the key if `value` is empty.
     struct Change {
         std::string key;
         std::optional<std::string> value;
     };
 
-    // What a process that dies had not yet handed to the kernel is lost; what it had is kept until power is
-    // lost.
+    // Detaches the store as if its process had been killed: changes not yet handed to the kernel (a random
+    // suffix) are lost, the others remain staged until power is lost.
     void endProcess() {
         if (!in_use_) return;
         in_use_ = false;
@@ -84,15 +83,15 @@
 
     std::mt19937_64 random_;
     Records durable_;
-    std::vector<Change> staged_;  // in order, not yet durable
+    std::vector<Change> staged_;  // in call order, not yet durable
     bool ever_synced_ = false;
     bool stalled_ = false;
     bool in_use_ = false;
-    std::uint64_t session_ = 0;  // of the store that uses the disk; a former user has no effect
+    std::uint64_t session_ = 0;  // of the store that uses the disk; calls of earlier stores have no effect
     std::function<void()> on_resume_;
 };
 
-// One sync at a time; calls that arrive meanwhile share the next one.
+// RecordStore on a SimulatedDisk. Runs one sync at a time; calls that arrive meanwhile share the next one.
 class MemoryStore : public RecordStore {
 public:
     MemoryStore(Scheduler& scheduler, SimulatedDisk& disk) : scheduler_(scheduler), disk_(disk) {
@@ -213,8 +212,8 @@
     std::uint64_t live_bytes_ = 0;
     std::uint64_t session_ = 0;
     bool was_empty_ = false;
-    bool failed_ = false;        // a sync failed, and what was staged is not durable yet
-    bool sync_overdue_ = false;  // the sync's time is over, but the disk is stalled
+    bool failed_ = false;        // a sync failed, and staged changes are not durable yet
+    bool sync_overdue_ = false;  // the sync latency has passed, but the disk may be stalled
     std::size_t changes_in_progress_ = 0;
     TimerHandle timer_;
     TimerHandle retry_timer_;
--- a/src/cluster/storage/open_ring.cpp
+++ b/src/cluster/storage/open_ring.cpp
@@ -21,7 +21,7 @@
         try {
             return std::make_unique<RingStore>(scheduler, directory, options);
         } catch (const StorageError& error) {
-            LOG(ERROR) << "the ring can't be opened and is tried again: " << error.what();
+            LOG(ERROR) << "cannot open the ring, retrying: " << error.what();
         }
         wait(delay);
         delay = std::min(2 * delay, kMaxRetryDelay);
--- a/src/cluster/storage/open_ring.hpp
+++ b/src/cluster/storage/open_ring.hpp
@@ -1,4 +1,4 @@
-// Opening a ring on a disk that may refuse for a while.
+// Opens a ring on a disk that may be temporarily unavailable.
 #pragma once
 
 #include <functional>
@@ -9,9 +9,9 @@
 
 namespace amberswitch::cluster {
 
-// Opens the ring, again and again while the disk refuses: a process that ended instead would start into the
-// same error, and one of a few starts may be all that its platform grants. `wait` is called between two tries
-// with the pause; it returns when the next one is due. Throws std::invalid_argument like RingStore.
+// Opens the ring, retrying as long as the disk returns errors: a process that exited instead would meet the
+// same error after its restart, and its platform may grant only a few restarts. `wait` is called with the
+// delay before each retry and returns when the retry is due. Throws std::invalid_argument like RingStore.
 std::unique_ptr<RingStore> openRing(Scheduler& scheduler, const std::string& directory,
                                     const RingOptions& options, const std::function<void(Millis)>& wait);
 
--- a/src/cluster/storage/record_format.cpp
+++ b/src/cluster/storage/record_format.cpp
@@ -10,7 +10,8 @@
 namespace amberswitch::cluster {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "the format is written as it lies in memory");
+static_assert(std::endian::native == std::endian::little,
+              "headers are written in native byte order, which the format defines as little-endian");
 
 constexpr std::uint64_t kSegmentMagic = 0x31474e4952424d41;  // "AMBRING1"
 constexpr std::uint32_t kRecordMagic = 0x44524352;           // "RCRD"
@@ -26,7 +27,7 @@
 static_assert(std::is_trivially_copyable_v<RawSegmentHeader>);
 
 struct RawRecordHeader {
-    std::uint64_t checksum;  // of everything after it: the rest of the header, the key, the value
+    std::uint64_t checksum;  // of everything after it: the rest of the header, the key and the value
     std::uint32_t magic;
     std::uint32_t type;
     std::uint32_t key_bytes;
--- a/src/cluster/storage/ring_layout.cpp
+++ b/src/cluster/storage/ring_layout.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view kPrefix = "segment-";
 constexpr std::string_view kSuffix = ".ring";
-constexpr std::size_t kMaxSlots = 100'000;  // a larger number is no name of ours
+constexpr std::size_t kMaxSlots = 100'000;  // a file name with a larger number is not a segment's
 
 std::optional<std::size_t> slotOfName(std::string_view name) {
     if (!name.starts_with(kPrefix) || !name.ends_with(kSuffix)) return std::nullopt;
--- a/src/cluster/storage/ring_store.cpp
+++ b/src/cluster/storage/ring_store.cpp
@@ -13,30 +13,31 @@
 namespace amberswitch::cluster {
 namespace {
 
-// Current records may take this share of the capacity.
+// Share of the capacity that current records may occupy.
 constexpr double kMaxLiveShare = 0.85;
-// With putFromReserve(): ends and promises are small.
+// The same for putFromReserve(), whose records (completions of messages and promises) are small.
 constexpr double kMaxLiveShareWithReserve = 0.9;
-// Free segments that putFromReserve() leaves alone, for cleaning and removals.
+// Free segments that putFromReserve() leaves to cleaning and removals.
 constexpr std::size_t kMinFreeSegmentsForReserve = 1;
-constexpr std::uint64_t kReserveMemoryFactor = 2;  // times the limit of put()
-// Cleaning that can't read a record tries again after this many changes.
+constexpr std::uint64_t kReserveMemoryFactor = 2;  // limit of putFromReserve(), relative to that of put()
+// Number of changes after which cleaning retries a record that it couldn't read.
 constexpr std::size_t kChangesUntilReadRetry = 64;
-// put() leaves a share of one in this many segments, and kMinReservedSegments at least, to cleaning and to
-// removals, which must always find room.
+// put() leaves one in this many segments, and at least kMinReservedSegments, to cleaning and to removals,
+// which must always find space.
 constexpr std::size_t kReservedDivisor = 16;
 constexpr std::size_t kMinReservedSegments = 2;
-// Cleaning rewrites up to this many bytes for each byte appended: while the oldest segment is nearly dead,
-// when free segments are few, and when they are nearly gone.
+// Bytes that cleaning may rewrite for each appended byte: while the oldest segment is nearly dead (relaxed),
+// when few segments are free (busy), and when almost none are (urgent).
 constexpr std::size_t kRelaxedCleaningRate = 1;
 constexpr std::size_t kBusyCleaningRate = 8;
 constexpr std::size_t kUrgentCleaningRate = 32;
-// A segment is nearly dead while at most one byte in this many is live.
+// A segment is nearly dead if at most one byte in this many is live.
 constexpr std::uint64_t kNearlyDeadDivisor = 8;
-// A ring is long with more than this beyond twice its live bytes. Records mostly die in the order of their
-// writing, so the last ones of the oldest segment will mostly be dead soon.
+// A ring is long if it has more than this many segments beyond twice its live bytes. A shorter one isn't
+// cleaned early: records mostly die in write order, so the last live ones of the oldest segment will mostly
+// be dead soon.
 constexpr std::uint64_t kShortRingSegments = 8;
-// Free segments are few while they are no more than one in this many beyond the reserve.
+// Few segments are free if they exceed the reserve by no more than one in this many segments.
 constexpr std::size_t kFewFreeDivisor = 16;
 
 std::size_t slotCount(const RingOptions& options) {
@@ -135,8 +136,7 @@
 
 void RingStore::sync(std::function<void(bool)> done) {
     stagePendingRemovals();
-    if (!pending_removals_.empty())
-        sync_thread_.fail(directory_ + ": no segment left for a removal");
+    if (!pending_removals_.empty()) sync_thread_.fail(directory_ + ": no free segment for a removal record");
     sync_thread_.sync(std::move(done));
 }
 
@@ -154,7 +154,7 @@
             const std::size_t size = entry.recordSize();
             const auto in_memory = sync_thread_.readFromMemory(placeOf(segment, entry.offset), size);
             auto value = valueOf(entry, in_memory ? *in_memory : reader.at(entry.offset, size));
-            // The reader's window may be older than the record.
+            // The reader's window may have been read before the record was written; then read it again.
             visit(*entry.key, value ? *value : readValue(entry));
         }
     }
@@ -202,7 +202,7 @@
     const std::size_t size = entry.recordSize();
     const auto in_memory = sync_thread_.readFromMemory(place, size);
     auto value = valueOf(entry, in_memory ? *in_memory : place.file->readAt(place.offset, size));
-    if (!value) throw StorageError(directory_, "read", "a record is damaged");
+    if (!value) throw StorageError(directory_, "read", "record is damaged");
     return *std::move(value);
 }
 
@@ -292,7 +292,7 @@
 }
 
 std::size_t RingStore::cleaningRate() const {
-    if (segments_.empty() || isOldestActive() || cleaningIsBlocked()) return 0;
+    if (segments_.empty() || isOldestActive() || isCleaningBlocked()) return 0;
     if (freeSlots() <= reserved_segments_ + 1) return kUrgentCleaningRate;
     if (freeSlots() <= reserved_segments_ + 1 + slot_count_ / kFewFreeDivisor) return kBusyCleaningRate;
     const bool nearly_dead = segments_.front().live_bytes <= options_.segment_bytes / kNearlyDeadDivisor;
@@ -301,7 +301,7 @@
     return nearly_dead && ring_is_long ? kRelaxedCleaningRate : 0;
 }
 
-// With one free segment left, what is current in the oldest one always fits into that.
+// The current records of the oldest segment always fit into one free segment.
 void RingStore::cleanOldestSegment() {
     if (segments_.empty() || isOldestActive()) return;
     const Segment* oldest = &segments_.front();
@@ -311,7 +311,8 @@
     releaseDeadSegments();
 }
 
-// Removals that outran cleaning: at most once around the ring, until a segment was gained.
+// Used when removals consume segments faster than cleaning frees them. Cleans until enough segments are free,
+// and at most once around the ring.
 void RingStore::cleanUntilSegmentsAreFree() {
     std::size_t attempts_left = segments_.size();
     while (freeSlots() < kMinReservedSegments && attempts_left > 0 && acceptsWrites()) {
@@ -320,12 +321,12 @@
     }
 }
 
-bool RingStore::cleaningIsBlocked() const {
+bool RingStore::isCleaningBlocked() const {
     return unreadable_entry_ != nullptr && changes_until_read_retry_ > 0;
 }
 
 bool RingStore::rewriteOldestLiveRecord() {
-    if (cleaningIsBlocked()) return false;
+    if (isCleaningBlocked()) return false;
     Entry& entry = segments_.front().live.front();
     const std::size_t size = entry.recordSize();
     if (!fits(size) && !startSegment()) return false;
@@ -335,7 +336,7 @@
         unlink(entry);
         link(entry, *active_segment_, offset, value.size());
     } catch (const StorageError& error) {
-        LOG(ERROR) << "the oldest segment can't be given back: " << error.what();
+        LOG(ERROR) << "cannot clean the oldest ring segment: " << error.what();
         unreadable_entry_ = &entry;
         changes_until_read_retry_ = kChangesUntilReadRetry;
         return false;
--- a/src/cluster/storage/ring_store.hpp
+++ b/src/cluster/storage/ring_store.hpp
@@ -1,12 +1,12 @@
-// The record store on disk: a ring of preallocated files, the segments, which are written one after the other
-// and reused in place. New records go to the newest segment. The oldest segment is given back when nothing in
-// it is current; when segments get scarce its current records are written again at the other end, a bounded
-// amount with each change. Everything older than the oldest segment is void, so a removal needs to be on disk
-// only until its record is in the oldest segment.
+// RecordStore on disk: a log-structured ring of preallocated files (segments), which are written one after
+// the other and reused in place. New records are appended to the newest segment. The oldest segment is
+// released when it holds no current record. When free segments become scarce, cleaning rewrites the current
+// records of the oldest segment to the newest one, a bounded amount with each change. Segments older than the
+// oldest one are ignored, so a removal record must be kept only until it is in the oldest segment.
 //
-// The index of keys is in memory, the values are on disk only. All members belong to the scheduler's thread;
-// the disk has a thread of its own (sync_thread.hpp). Members that touch the disk throw StorageError if it
-// refuses.
+// The index of keys is in memory, values are on disk only. All members are used on the scheduler's thread;
+// writes and syncs run on a separate thread (sync_thread.hpp). Members that access the disk throw
+// StorageError on an I/O error.
 #pragma once
 
 #include <boost/intrusive/list.hpp>
@@ -31,15 +31,16 @@
 namespace amberswitch::cluster {
 
 struct RingOptions {
-    std::uint64_t capacity_bytes = 64 * 1024 * 1024;  // of all files together
-    std::uint32_t segment_bytes = 1024 * 1024;  // of each file; no record is larger; better not changed later
-    // put() refuses while this much is in memory only, so that a stalled disk doesn't fill the memory;
-    // putFromReserve() at twice as much.
+    std::uint64_t capacity_bytes = 64 * 1024 * 1024;  // total size of all files
+    // Size of each file, and limit of a record. Should not be changed for an existing ring.
+    std::uint32_t segment_bytes = 1024 * 1024;
+    // put() returns false while more than this is in memory and not yet durable, so that a stalled disk
+    // doesn't exhaust the memory; putFromReserve() does so at twice as much.
     std::uint64_t max_unsynced_bytes = 16 * 1024 * 1024;
-    Millis retry_interval{250};  // of a disk that fails
+    Millis retry_interval{250};  // between attempts to write to a failing disk
 };
 
-// Counters of a ring since it was opened.
+// Counters since the ring was opened.
 struct RingStatistics {
     std::uint64_t segments_started = 0;
     std::uint64_t records_rewritten = 0;  // by cleaning
@@ -48,8 +49,8 @@
 
 class RingStore : public RecordStore {
 public:
-    // Opens the ring in `directory`, which is created if need be; waits for the disk. Throws StorageError if
-    // the disk refuses, std::invalid_argument if the options leave fewer than kMinSegments segments.
+    // Opens the ring in `directory`, which is created if necessary. Blocks on disk I/O. Throws StorageError
+    // on an I/O error, std::invalid_argument if the options allow fewer than kMinSegments segments.
     RingStore(Scheduler& scheduler, std::string directory, RingOptions options);
     ~RingStore() override;
 
@@ -75,9 +76,9 @@
 private:
     struct Segment;
 
-    // Where the current record of a key lies.
+    // Position of the current record of a key.
     struct Entry : boost::intrusive::list_base_hook<> {
-        const std::string* key = nullptr;  // that of the index
+        const std::string* key = nullptr;  // points to the key in the index
         Segment* segment = nullptr;
         std::uint32_t offset = 0;
         std::uint32_t value_bytes = 0;
@@ -89,13 +90,13 @@
     struct Segment {
         SegmentHeader header;
         std::uint64_t checksum_seed = 0;
-        std::size_t slot = 0;  // which file
+        std::size_t slot = 0;  // index in files_
         std::uint64_t used_bytes = 0;
-        // Of what was found on opening; 0: no record.
+        // Sequence numbers of the records found on opening; 0 if there were none.
         std::uint64_t first_sequence = 0;
         std::uint64_t last_sequence = 0;
         std::uint64_t live_bytes = 0;
-        EntryList live;  // current records, in the order of their offsets
+        EntryList live;  // current records, ordered by offset
     };
 
     struct KeyHash {
@@ -112,21 +113,22 @@
     void makeDurable(const Segment& newest);
     bool hasGaps() const;
 
-    // The index.
+    // Index of current records.
     void setCurrent(std::string_view key, Segment& segment, std::uint64_t offset, std::size_t value_bytes);
     void link(Entry& entry, Segment& segment, std::uint64_t offset, std::size_t value_bytes);
     void unlink(Entry& entry);
-    // The value in these bytes, if they are the intact record of the entry.
+    // Returns the value if the bytes are the intact record of the entry, otherwise nothing.
     std::optional<std::string> valueOf(const Entry& entry, std::string_view record_bytes) const;
     std::string readValue(const Entry& entry) const;
 
-    // Space.
+    // Space management and cleaning.
     bool fits(std::size_t record_bytes) const;
-    // Neither fails nor has that much in memory only.
+    // True while the disk works and no more than max_unsynced_bytes are in memory.
     bool acceptsWrites() const;
     bool hasRoomFor(std::string_view key, std::size_t size, double live_share) const;
     void writePut(std::string_view key, std::string_view value);
-    // Removals that found no segment, as a failing disk can't be cleaned.
+    // Writes the removal records that found no free segment so far, since a ring isn't cleaned while its disk
+    // fails.
     void stagePendingRemovals();
     std::size_t freeSlots() const { return released_slots_.size() + unused_slots_.size(); }
     std::optional<std::size_t> takeFreeSlot();
@@ -137,8 +139,9 @@
     void cleanOldestSegment();
     void cleanUntilSegmentsAreFree();
     bool rewriteOldestLiveRecord();
-    // The first current record of the oldest segment can't be read; it is tried again some changes later.
-    bool cleaningIsBlocked() const;
+    // True while the first current record of the oldest segment can't be read; reading it is retried after
+    // kChangesUntilReadRetry changes.
+    bool isCleaningBlocked() const;
     std::uint64_t write(RecordType type, std::string_view key, std::string_view value);
     bool isOldestActive() const {
         return active_segment_ != nullptr && active_segment_ == &segments_.front();
@@ -147,25 +150,25 @@
 
     const std::string directory_;
     const RingOptions options_;
-    const std::size_t slot_count_;         // by the capacity
-    std::size_t max_files_ = 0;            // a few more, for where crashes left no free file
+    const std::size_t slot_count_;         // as given by the capacity
+    std::size_t max_files_ = 0;            // more than slot_count_, in case crashes left no free file
     const std::size_t reserved_segments_;  // free segments that put() leaves alone
     bool was_empty_ = false;
     bool has_missing_records_ = false;
 
-    std::vector<std::shared_ptr<SegmentFile>> files_;  // by slot; more than slot_count_ after trouble
-    std::deque<std::size_t> released_slots_;  // of segments that are void; the oldest is reused first
-    std::vector<std::size_t> unused_slots_;   // whose files don't exist yet
-    std::deque<Segment> segments_;            // the oldest first
-    Segment* active_segment_ = nullptr;       // the newest, once this process has begun one
+    std::vector<std::shared_ptr<SegmentFile>> files_;  // by slot; may exceed slot_count_ after crashes
+    std::deque<std::size_t> released_slots_;           // slots of released segments, oldest first
+    std::vector<std::size_t> unused_slots_;            // slots without a file
+    std::deque<Segment> segments_;                     // oldest first
+    Segment* active_segment_ = nullptr;  // newest segment; null until this process has started one
     Index index_;
     std::uint64_t live_bytes_ = 0;
     std::uint64_t last_generation_ = 0;
     std::uint64_t last_sequence_ = 0;
     std::uint64_t salt_ = 0;
-    std::size_t cleaning_credit_ = 0;  // bytes that cleaning may still rewrite
+    std::size_t cleaning_credit_ = 0;  // bytes that cleaning may rewrite
     const Entry* unreadable_entry_ = nullptr;
-    std::size_t changes_until_read_retry_ = 0;  // before it is tried again
+    std::size_t changes_until_read_retry_ = 0;
     std::string encode_buffer_;
     RingStatistics statistics_;
     std::set<std::string, std::less<>> pending_removals_;
--- a/src/cluster/storage/ring_store_open.cpp
+++ b/src/cluster/storage/ring_store_open.cpp
@@ -1,4 +1,4 @@
-// Opening a ring: which segments are current, and the index of what they hold.
+// Opens a ring: determines the current segments and builds the index of their records.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -12,13 +12,15 @@
 namespace amberswitch::cluster {
 namespace {
 
-// Numbers that a lost end of the last life may have used are never used again.
+// Generations and sequence numbers skip this much on opening, so that numbers used by a lost tail of the
+// previous process are never reused.
 constexpr std::uint64_t kGenerationGap = 1024;
 constexpr std::uint64_t kSequenceGap = 1U << 20U;
-// Beyond the capacity, or beyond the segments that a former, larger capacity left.
+// Files allowed beyond the capacity, or beyond the segments left by an earlier, larger capacity.
 constexpr std::size_t kExtraFiles = 2;
 
-// False: the disk is full. The folder is then created with the first segment.
+// Creates the directory. Returns false if the disk is full; the directory is then created with the first
+// segment.
 bool createDirectoryUnlessFull(const std::string& directory) {
     std::error_code error;
     std::filesystem::create_directories(directory, error);
@@ -44,7 +46,7 @@
     for (const FoundSegment& segment : layout.current) load(segment);
     const FoundSegment& newest = layout.current.back();
     has_missing_records_ = hasGaps();
-    if (has_missing_records_) LOG(ERROR) << directory_ << ": records are missing or damaged";
+    if (has_missing_records_) LOG(ERROR) << directory_ << ": durable records are missing or damaged";
     makeDurable(segments_.back());
     last_generation_ = newest.header.generation + kGenerationGap;
     last_sequence_ += kSequenceGap;
@@ -52,9 +54,9 @@
               << live_bytes_ << " bytes";
 }
 
-// Only the newest segment may hold something that was written and not synced. Nobody may be told of it before
-// it is durable. A sync of the last process may have failed, after which another sync says nothing of what
-// was written before it: so all of it is written again.
+// Only the newest segment may hold records that were written but not synced. They must be durable before the
+// store reports them. A plain sync is not enough: if a sync of the previous process failed, a later
+// successful sync doesn't cover the data written before it. So the whole segment is written again and synced.
 void RingStore::makeDurable(const Segment& newest) {
     SegmentFile& file = *files_[newest.slot];
     const std::string content = file.readAt(0, newest.used_bytes);
@@ -67,15 +69,16 @@
     }
 }
 
-// Within the life of a process, generations and sequences rise by one. A segment is synced before the next
-// one is begun, so only the last one of a life may end early. So may the oldest: once it is void, its file is
-// given to a new segment, of which a loss of power may leave the records and not the header.
+// Returns true if durable records are missing. Within one process, generations and sequence numbers increase
+// by one. A segment is synced before the next one is started, so only the last segment of a process may be
+// incomplete. The oldest may be, too: once it is released, its file is reused for a new segment, of which a
+// power loss may preserve the records but not the header.
 bool RingStore::hasGaps() const {
     for (std::size_t i = 1; i < segments_.size(); ++i) {
         const Segment& before = segments_[i - 1];
         const Segment& after = segments_[i];
         const std::uint64_t step = after.header.generation - before.header.generation;
-        if (step > kGenerationGap) continue;  // another life
+        if (step > kGenerationGap) continue;  // written by another process
         if (step != 1) return true;
         const bool before_is_oldest = i == 1;
         if (before_is_oldest) continue;
--- a/src/cluster/storage/segment_file.cpp
+++ b/src/cluster/storage/segment_file.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kWindowBytes = 256 * 1024;
 constexpr mode_t kFileMode = 0644;
 
-// A file descriptor that is closed at the end of its scope.
+// Closes a file descriptor at the end of the scope.
 class ScopedDescriptor {
 public:
     explicit ScopedDescriptor(int descriptor) : descriptor_(descriptor) {}
@@ -74,7 +74,7 @@
     if (descriptor_ < 0) return;
     const ScopedDescriptor fresh(::open(path_.c_str(), O_RDWR | O_CLOEXEC));
     if (fresh.get() < 0) throw StorageError::fromErrno(path_, "reopen");
-    // In place of the old one at once, so that a reader has either.
+    // dup3 replaces the old descriptor atomically: a concurrent reader uses either the old or the new one.
     if (::dup3(fresh.get(), descriptor_, O_CLOEXEC) < 0) throw StorageError::fromErrno(path_, "reopen");
 }
 
@@ -82,7 +82,7 @@
     const auto length = static_cast<off_t>(bytes);
     is_allocated_ = false;
     if (::ftruncate(descriptor_, length) != 0) throw StorageError::fromErrno(path_, "set length");
-    // Reserving the blocks is a courtesy: a file system that can't do it still has the length.
+    // Allocating the blocks is optional: a file system that doesn't support it has still set the length.
     if (::fallocate(descriptor_, 0, 0, length) != 0 && errno == ENOSPC) {
         throw StorageError::fromErrno(path_, "reserve");
     }
--- a/src/cluster/storage/segment_file.hpp
+++ b/src/cluster/storage/segment_file.hpp
@@ -1,4 +1,4 @@
-// One preallocated file of the ring, and a buffered reader over it.
+// A preallocated file of the ring, and a buffered reader for it.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,8 @@
 
 namespace amberswitch::cluster {
 
-// Every member throws StorageError if the disk refuses. One thread may write while another one reads.
+// File of a ring slot. Every member function throws StorageError on an I/O error. One thread may write while
+// another one reads.
 class SegmentFile {
 public:
     explicit SegmentFile(std::string path) : path_(std::move(path)) {}
@@ -20,18 +21,19 @@
     SegmentFile(const SegmentFile&) = delete;
     SegmentFile& operator=(const SegmentFile&) = delete;
 
-    // Opens the file if it exists; tells whether it does.
+    // Opens the file for reading and writing. Returns false if it doesn't exist.
     bool openExisting();
-    // The same without the right to write.
+    // Opens the file for reading only. Returns false if it doesn't exist.
     bool openForReading();
-    // Creates the file and its folder if need be and gives it its full length. A new file's name is made to
-    // last. May be repeated after it has failed.
+    // Creates the file and its directory if necessary and allocates its full length. Syncs the directory of a
+    // new file, so that its name is durable. May be called again after a failure.
     void prepare(std::uint64_t bytes);
-    // Opens an open file once more, after an error; others may read meanwhile.
+    // Replaces the descriptor of an open file with a newly opened one, after an error. Other threads may read
+    // meanwhile.
     void reopen();
     std::uint64_t bytes() const;
     void writeAt(std::uint64_t offset, std::string_view bytes);
-    // Reads up to `size` bytes; fewer only at the end of the file.
+    // Reads `size` bytes, or fewer at the end of the file.
     std::string readAt(std::uint64_t offset, std::size_t size) const;
     void sync();
 
@@ -43,17 +45,18 @@
 
     const std::string path_;
     std::atomic<int> descriptor_{-1};
-    // Of the thread that writes:
-    bool is_allocated_ = true;  // as far as prepare() has to care
+    // Used by the writing thread only:
+    bool is_allocated_ = true;  // false after a failed allocation; prepare() then allocates again
     bool directory_synced_ = true;
 };
 
-// Reads a file through a window, so that walking over it takes few system calls.
+// Reads a file through a buffered window, so that a sequential scan takes few system calls.
 class SegmentReader {
 public:
     explicit SegmentReader(const SegmentFile& file) : file_(file) {}
 
-    // The bytes from `offset`, at least `size` unless the file ends; valid until the next call.
+    // Returns the bytes from `offset`, at least `size` of them unless the file ends before. The view is valid
+    // until the next call.
     std::string_view at(std::uint64_t offset, std::size_t size);
     std::uint64_t fileBytes() const { return file_.bytes(); }
 
@@ -63,11 +66,11 @@
     std::uint64_t window_start_ = 0;
 };
 
-// Visits the valid records of a segment in order and stops at the first bad one. Returns where that is.
+// Visits the valid records of a segment in order and stops at the first invalid one. Returns its offset.
 std::uint64_t scanRecords(SegmentReader& reader, const SegmentHeader& header,
                           const std::function<void(std::uint64_t offset, const RecordView& record)>& visit);
 
-// The header of the segment in this file, if it has a valid one.
+// Returns the segment header of the file if it is valid.
 std::optional<SegmentHeader> readSegmentHeader(SegmentReader& reader);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/storage/sync_thread.cpp
+++ b/src/cluster/storage/sync_thread.cpp
@@ -11,16 +11,17 @@
 namespace amberswitch::cluster {
 namespace {
 
-// What is queued without anyone waiting for a sync is written once it has grown to this,
+// Bytes queued without a waiting sync are written once they reach this size,
 constexpr std::uint64_t kWriteBehindBytes = 1024 * 1024;
-// and synced once this much has been written, so that it need not stay in memory.
+// and synced once this much is in memory, so that it can be freed.
 constexpr std::uint64_t kSyncBehindBytes = 4 * 1024 * 1024;
-// The pause between attempts doubles this often at most, so that a disk that takes writes again is used soon.
+// Maximum number of times the retry delay doubles, so that a recovered disk is used soon.
 constexpr int kMaxDoublings = 2;
-// The scheduleStallCheck looks this often within the stall limit. Looks count, not time: where the whole
-// process stood still, the disk is not to blame.
+// Number of stall checks within the stall limit. A stall is detected by consecutive checks and not by elapsed
+// time, since the whole process may have been suspended without a fault of the disk.
 constexpr int kChecksPerStallLimit = 7;
-// A disk that fails again within this time is not tried sooner than at its last failure.
+// The retry delay is reset only after the disk has been healthy for this long. A disk that fails again
+// earlier is retried no sooner than at its previous failure.
 constexpr std::chrono::seconds kStablePeriod{10};
 
 }  // namespace
@@ -77,7 +78,7 @@
         checked_pass_ = pass_;
         if (stalled_checks_ >= kChecksPerStallLimit) {
             stalled_checks_ = 0;
-            enterFailedState("a write or sync does not return");
+            enterFailedState("a write or sync did not return within the stall limit");
             postCallbacks(std::exchange(in_progress_, {}), false);
             return postCallbacks(std::exchange(waiting_, {}), false);
         }
@@ -147,7 +148,7 @@
     }
 }
 
-// Called under the mutex. False: the store ends.
+// Called under the mutex. Returns false if the store is being destroyed.
 bool SyncThread::waitForWork(std::unique_lock<std::mutex>& lock) {
     if (failed_) {
         work_arrived_.wait_for(lock, nextRetryDelay(), [this] { return stopping_; });
@@ -158,7 +159,7 @@
     return !stopping_;
 }
 
-// All that is not known to be durable is written again.
+// Marks all chunks that are not known to be durable as not written.
 void SyncThread::resetForRewrite() {
     written_chunks_ = 0;
     dirty_file_.reset();
@@ -202,7 +203,7 @@
     chunk.place.file->writeAt(chunk.place.offset, chunk.bytes);
 }
 
-// Everything that is written is in the dirty file, or was synced before.
+// Makes all written chunks durable: each is in the dirty file or was synced before.
 void SyncThread::syncDirtyFile() {
     if (!dirty_file_) return;
     dirty_file_->sync();
@@ -223,7 +224,7 @@
 // Called under the mutex.
 void SyncThread::enterFailedState(const std::string& reason) {
     if (failed_) return;
-    LOG(ERROR) << "the disk fails: " << reason;
+    LOG(ERROR) << "ring disk failure: " << reason;
     if (std::chrono::steady_clock::now() - healthy_since_ >= kStablePeriod) retry_count_ = 0;
     failed_ = true;
     notifyHealth(false);
@@ -231,7 +232,7 @@
 
 // Called under the mutex.
 void SyncThread::leaveFailedState() {
-    LOG(WARNING) << "the disk works again; all that was kept in memory is on it";
+    LOG(WARNING) << "ring disk recovered; all bytes kept in memory are durable";
     failed_ = false;
     healthy_since_ = std::chrono::steady_clock::now();
     notifyHealth(true);
--- a/tests/cluster/disk_run_count.hpp
+++ b/tests/cluster/disk_run_count.hpp
@@ -1,5 +1,5 @@
-// How many plays of a kind the tests of failing disks run: few in an ordinary run, or as many as the
-// environment variable DISK_PLAYS says.
+// Number of seeded scenarios that the tests of failing disks run: the given default, or the value of the
+// environment variable DISK_PLAYS.
 #pragma once
 
 #include <cstdint>
--- a/tests/cluster/record_store_contract.hpp
+++ b/tests/cluster/record_store_contract.hpp
@@ -1,5 +1,5 @@
-// What every record store must do. A test program gives a harness for its kind of store and calls
-// testRecordStoreContract with it.
+// Contract tests for implementations of RecordStore. A test program provides a harness for its store and
+// passes it to testRecordStoreContract.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -16,26 +16,26 @@
 
 namespace amberswitch::cluster {
 
-// One store over a disk that outlives it.
+// Owns a store and its disk, which outlives the store.
 class RecordStoreHarness {
 public:
     virtual ~RecordStoreHarness() = default;
     virtual RecordStore& store() = 0;
-    // The process ends and another one opens the store; what was written and not synced may be there.
+    // Reopens the store as a new process; unsynced changes may survive.
     virtual void restart() = 0;
-    // Power is lost, and another process opens the store.
+    // Loses power and reopens the store as a new process.
     virtual void losePower() = 0;
     virtual void wipe() = 0;
-    // The disk stops finishing syncs, or goes on.
+    // While stalled, syncs don't complete.
     virtual void setStalled(bool stalled) = 0;
-    // The disk fails, or works again; the store finds out by itself.
+    // Makes the disk fail or work again; the store detects it by itself.
     virtual void setFailing(bool failing) = 0;
-    // Plays until the condition holds; false if it doesn't for long.
+    // Runs the scheduler until the condition holds. Returns false on a timeout.
     virtual bool runUntil(const std::function<bool()>& holds) = 0;
-    // Plays what there is to do at this moment.
+    // Runs the tasks that are due now.
     virtual void runPending() = 0;
 
-    // Syncs and waits for the outcome.
+    // Syncs and waits. Returns true if the changes are durable.
     bool syncAndWait() {
         std::optional<bool> durable;
         store().sync([&durable](bool result) { durable = result; });
@@ -169,7 +169,7 @@
     CHECK_FALSE(harness->syncAndWait());
 }
 
-// A sync that failed is never trusted later: what it was for is durable once the store is healthy.
+// All changes staged before or during a failure are durable once the store is healthy again.
 inline void checkRecoversAfterFailure(const HarnessFactory& make) {
     const auto harness = make(10);
     std::vector<bool> health_changes;
@@ -205,7 +205,7 @@
     CHECK(health_changes == std::vector<bool>{false, true, false, true, false, true});
 }
 
-// Until then, what was answered as durable is there after a loss of power, and nothing that was not staged.
+// After a power loss during a failure, the store holds either the durable value or the one staged later.
 inline void checkPowerLossWhileItFails(const HarnessFactory& make) {
     const auto harness = make(11);
     CHECK(harness->store().put("old", std::string(1000, 'o')));
@@ -243,7 +243,7 @@
     CHECK(harness->content().size() == expected.size() - 19);
 }
 
-// Callbacks of a store that is gone never run.
+// Callbacks of a destroyed store never run.
 inline void checkDropsCallbacksOnDestruction(const HarnessFactory& make) {
     const auto harness = make(9);
     bool answered = false;
@@ -255,17 +255,17 @@
     CHECK_FALSE(answered);
 }
 
-// Changes since the last answered sync, as one record of what the store may hold after a crash.
+// Model of a store's contents: the changes since the last crash, and how many of them are durable.
 class CrashModel {
 public:
     void put(const std::string& key, const std::string& value) { add({key, value}); }
     void erase(const std::string& key) { add({key, std::nullopt}); }
     const Records& current() const { return current_; }
     std::size_t changes() const { return changes_.size(); }
-    // The first `count` changes are durable.
+    // Records that the first `count` changes are durable.
     void synced(std::size_t count) { durable_count_ = std::max(durable_count_, count); }
-    // The content must be what some beginning of the changes gives that covers all that is durable. Goes on
-    // from it.
+    // Returns whether the content results from a prefix of the changes that includes all durable ones.
+    // Continues from this content.
     bool accept(const Records& content) {
         Records state = base_;
         bool matched = false;
@@ -302,8 +302,8 @@
     std::size_t durable_count_ = 0;
 };
 
-// Random changes with restarts and losses of power: after each the store holds a beginning of what was
-// staged, with everything that was answered as durable.
+// Applies random changes with restarts and power losses. After each of these the store must hold a prefix of
+// the staged changes that includes all changes reported as durable.
 inline void checkRandomCrashes(const HarnessFactory& make, std::uint64_t seed, int rounds,
                                bool fails_at_times = false) {
     CAPTURE(seed);
@@ -356,7 +356,7 @@
     SUBCASE("reads its writes") {
         checkReadsItsWrites(make);
     }
-    SUBCASE("keeps what was synced") {
+    SUBCASE("keeps synced records") {
         checkKeepsSyncedRecords(make);
     }
     SUBCASE("is empty after a wipe") {
@@ -365,7 +365,7 @@
     SUBCASE("answers syncs in call order") {
         checkAnswersSyncsInOrder(make);
     }
-    SUBCASE("answers a sync only later") {
+    SUBCASE("never answers a sync synchronously") {
         checkNeverAnswersSynchronously(make);
     }
     SUBCASE("waits for a stalled disk") {
@@ -374,22 +374,22 @@
     SUBCASE("stays readable while it fails") {
         checkStaysReadableWhileItFails(make);
     }
-    SUBCASE("comes back after a failure") {
+    SUBCASE("recovers after a failure") {
         checkRecoversAfterFailure(make);
     }
-    SUBCASE("a loss of power while it fails") {
+    SUBCASE("power loss during a failure") {
         checkPowerLossWhileItFails(make);
     }
     SUBCASE("refuses when full") {
         checkRefusesWhenFull(make);
     }
-    SUBCASE("forgets callbacks at its end") {
+    SUBCASE("drops callbacks on destruction") {
         checkDropsCallbacksOnDestruction(make);
     }
     SUBCASE("random crashes") {
         for (std::uint64_t seed = 100; seed < 130; ++seed) checkRandomCrashes(make, seed, 25);
     }
-    SUBCASE("random crashes of a disk that fails at times") {
+    SUBCASE("random crashes with disk failures") {
         for (std::uint64_t seed = 200; seed < 230; ++seed) checkRandomCrashes(make, seed, 25, true);
     }
 }
--- a/tests/cluster/record_store_test.cpp
+++ b/tests/cluster/record_store_test.cpp
@@ -1,4 +1,4 @@
-// The contract of record stores, played with each kind of store.
+// Runs the contract tests of record stores with each implementation.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -56,16 +56,16 @@
     std::unique_ptr<MemoryStore> store_;
 };
 
-TEST_CASE("MemoryStore keeps the contract of record stores") {
+TEST_CASE("MemoryStore fulfills the contract of record stores") {
     testRecordStoreContract([](std::uint64_t seed) { return std::make_unique<MemoryHarness>(seed); });
 }
 
-TEST_CASE("RingStore keeps the contract of record stores") {
+TEST_CASE("RingStore fulfills the contract of record stores") {
     testRecordStoreContract(
         [](std::uint64_t seed) { return std::make_unique<ring_test::RingHarness>(seed); });
 }
 
-TEST_CASE("RingStore keeps the contract of record stores where writes fail instead of syncs") {
+TEST_CASE("RingStore fulfills the contract of record stores when writes fail instead of syncs") {
     testRecordStoreContract([](std::uint64_t seed) {
         auto harness = std::make_unique<ring_test::RingHarness>(seed);
         harness->failBySyncs(false);
@@ -73,7 +73,7 @@
     });
 }
 
-TEST_CASE("MemoryStore refuses puts on demand and still removes") {
+TEST_CASE("MemoryStore with refuse_puts refuses puts but accepts removals") {
     simulation::World world(1);
     simulation::SimulatedScheduler scheduler(world);
     SimulatedDisk disk(1);
@@ -87,7 +87,7 @@
     CHECK(store.put("b", "2"));
 }
 
-TEST_CASE("A store whose power is gone no longer reaches its disk") {
+TEST_CASE("A store of a wiped disk can no longer change it") {
     simulation::World world(1);
     simulation::SimulatedScheduler scheduler(world);
     SimulatedDisk disk(1);
--- a/tests/cluster/ring_failure_test.cpp
+++ b/tests/cluster/ring_failure_test.cpp
@@ -1,4 +1,5 @@
-// A ring on a disk that is full or fails: what is left on it, what can still be done, and how it comes back.
+// Ring stores on a disk that is full or fails: which records survive, which operations still work, and the
+// recovery.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -26,12 +27,12 @@
     return harness.runUntil([&harness] { return harness.store().healthy(); });
 }
 
-// The health is result through the scheduler, so that there is something to wait for.
+// Registers a health listener. Health changes are then posted to the scheduler, so that runUntil() wakes up.
 void subscribeToHealth(RingHarness& harness) {
     harness.store().onHealthChange([](bool) {});
 }
 
-// Lets the watch of the disk round again and again, until `holds` or many looks are over.
+// Runs the stall checks until `holds` returns true, at most kMaxRounds times.
 bool fireTimersUntil(RingHarness& harness, const std::function<bool()>& holds) {
     constexpr int kMaxRounds = 1'000'000;
     for (int round = 0; round < kMaxRounds && !holds(); ++round) {
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("A sync that does not return counts as failed, and all is durable once it has returned") {
+TEST_CASE("A stalled sync counts as failed, and all changes are durable once it has returned") {
     RingHarness harness(21);
     subscribeToHealth(harness);
     REQUIRE(harness.store().put("before", "1"));
@@ -68,7 +69,7 @@
     CHECK(harness.store().read("after") == "4");
 }
 
-TEST_CASE("A ring whose disk refuses to be read while it is opened is opened once it can be") {
+TEST_CASE("Opening a ring is retried until its disk can be read") {
     RingHarness harness(23);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -87,7 +88,7 @@
     CHECK(pauses.back() == Millis(1000));
 }
 
-TEST_CASE("A disk that nobody waits for, or that goes on from pass to pass, has not stalled") {
+TEST_CASE("A disk without waiting syncs, or with progress from pass to pass, does not count as stalled") {
     RingHarness harness(22);
     subscribeToHealth(harness);
     for (int i = 0; i < 100; ++i) {
@@ -99,7 +100,7 @@
     CHECK(harness.store().healthy());
 }
 
-TEST_CASE("A write that is cut in the middle leaves a beginning, and is written over when there is room") {
+TEST_CASE("A partial write leaves a prefix and is overwritten once the disk has space") {
     for (int before = 1; before <= 3; ++before) {
         CAPTURE(before);
         RingHarness harness(1);
@@ -123,7 +124,7 @@
     }
 }
 
-TEST_CASE("A process that ends while the disk is full leaves what was synced and a beginning of the rest") {
+TEST_CASE("A process that ends while the disk is full leaves synced records and a prefix of the others") {
     for (int before = 0; before <= 4; ++before) {
         CAPTURE(before);
         RingHarness harness(2);
@@ -148,7 +149,7 @@
     }
 }
 
-TEST_CASE("A ring that is opened on a full disk comes up once there is room") {
+TEST_CASE("A ring opened on a full disk becomes healthy once there is space") {
     RingHarness harness(3);
     harness.close();
     std::filesystem::remove_all(harness.directory());
@@ -185,7 +186,7 @@
     }
 }
 
-TEST_CASE("What was written before a failed sync of the last process is not trusted on opening") {
+TEST_CASE("Records before a failed sync of the previous process are written again on opening") {
     RingHarness harness(5);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -195,13 +196,13 @@
     harness.close();
     harness.setFailing(false);
     harness.open();
-    // The kernel still shows the bytes, and calls them clean.
+    // The bytes are still in the page cache, where they are marked clean.
     REQUIRE(harness.store().read("b") == "2");
     harness.losePower();
     CHECK(harness.store().read("b") == "2");
 }
 
-TEST_CASE("While the disk fails memory stays bounded, and ends find room after messages have none") {
+TEST_CASE("During a disk failure memory use is bounded, and putFromReserve works when put is refused") {
     RingOptions options = smallRing();
     options.capacity_bytes = 64 * 4096;
     options.max_unsynced_bytes = 10'000;
@@ -229,7 +230,7 @@
     CHECK(harness.content() == expected);
 }
 
-TEST_CASE("A full ring still takes ends and removals") {
+TEST_CASE("A full ring still accepts putFromReserve and removals") {
     RingHarness harness(7);
     int taken = 0;
     while (taken < 10'000 && harness.store().put(keyOf(taken), std::string(400, 'v'))) {
@@ -251,7 +252,7 @@
     CHECK(harness.content().size() == 20);
 }
 
-TEST_CASE("A record that can't be read is neither there nor absent, and can be read when that is over") {
+TEST_CASE("Reading an unreadable record throws, and works again after the fault") {
     RingHarness harness(8);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -266,7 +267,7 @@
     CHECK(harness.store().read("a") == "1");
 }
 
-TEST_CASE("Cleaning that can't read goes on when it can, and meanwhile loses nothing") {
+TEST_CASE("Cleaning resumes after a read error and loses no record") {
     RingHarness harness(9);
     REQUIRE(harness.store().put("cold", std::string(1000, 'c')));
     REQUIRE(harness.syncAndWait());
@@ -280,7 +281,7 @@
     harness.disk().read_error = EIO;
     bool refused = false;
     for (int i = 0; i < 200 && !refused; ++i) refused = !writeHot();
-    CHECK(refused);  // no segment can be given back
+    CHECK(refused);  // no segment can be released
     CHECK(harness.store().healthy());
     harness.disk().read_error = 0;
     harness.store().erase("hot");
@@ -291,7 +292,7 @@
     CHECK(harness.store().read("cold") == std::string(1000, 'c'));
 }
 
-TEST_CASE("Damage before the end of what was durable is noticed on opening, a torn end is not taken for it") {
+TEST_CASE("Damage before the end of the durable records is detected on opening, unlike a torn tail") {
     RingHarness harness(10);
     for (int i = 0; i < 40; ++i) {
         REQUIRE(harness.store().put(keyOf(i), std::string(400, 'v')));
--- a/tests/cluster/ring_harness.hpp
+++ b/tests/cluster/ring_harness.hpp
@@ -1,4 +1,4 @@
-// The harness of a RingStore over a watched folder.
+// Test harness of a RingStore on a FaultInjectingDisk.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace amberswitch::cluster::ring_test {
 
-// Segments small enough that a few records fill one.
+// Options with segments so small that a few records fill one.
 inline RingOptions smallRing() {
     RingOptions options;
     options.capacity_bytes = 16 * 4096;
@@ -62,7 +62,7 @@
         const int error = failing ? (fails_by_syncs_ ? EIO : ENOSPC) : 0;
         (fails_by_syncs_ ? disk_.sync_error : disk_.write_error) = error;
     }
-    // Whether setFailing() concerns syncs (EIO) or writes (ENOSPC).
+    // Selects whether setFailing() makes syncs (EIO) or writes (ENOSPC) fail.
     void failBySyncs(bool by_syncs) { fails_by_syncs_ = by_syncs; }
     bool runUntil(const std::function<bool()>& holds) override { return scheduler_.runUntil(holds); }
     void runPending() override { scheduler_.runPosted(); }
--- a/tests/cluster/ring_space_test.cpp
+++ b/tests/cluster/ring_space_test.cpp
@@ -1,5 +1,5 @@
-// Space in the ring: wrapping around, cleaning, full rings, removals that make room, stalled disks, other
-// sizes.
+// Space management of the ring: wrap-around, cleaning, full rings, removals that free space, stalled disks,
+// changed sizes.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -56,7 +56,7 @@
     CHECK(harness.ring().statistics().bytes_rewritten < 1000 * 300 / 20);
 }
 
-TEST_CASE("Records that die in the order of their writing are not rewritten") {
+TEST_CASE("Records removed in write order are not rewritten by cleaning") {
     RingHarness harness(22);
     constexpr int kInUse = 20;
     for (int i = 0; i < 2000; ++i) {
@@ -68,7 +68,7 @@
     CHECK(harness.ring().statistics().records_rewritten == 0);
 }
 
-// Fills the ring with records of this size until it goes on refusing; tells how many it took.
+// Fills the ring with records of this size until it refuses repeatedly. Returns the number of records stored.
 int fill(RingHarness& harness, std::size_t value_bytes) {
     constexpr int kRefusals = 40;
     int taken = 0;
@@ -105,14 +105,14 @@
     CHECK(fileCount(harness.directory()) <= 16);
 }
 
-TEST_CASE("A full ring refuses and goes on serving, and removals make room again") {
+TEST_CASE("A full ring refuses puts but stays readable, and removals free space again") {
     for (const std::size_t value_bytes : {0U, 20U, 300U, 1500U, 2500U, 4000U}) {
         checkFullRing(value_bytes, false);
         checkFullRing(value_bytes, true);
     }
 }
 
-TEST_CASE("A nearly full ring goes on taking changes of its records") {
+TEST_CASE("A nearly full ring accepts changes of its records") {
     RingHarness harness(11);
     std::mt19937_64 random(11);
     Records expected;
@@ -144,8 +144,8 @@
     CHECK(harness.store().read("a") == std::string(largest, 'v'));
 }
 
-TEST_CASE("The ring of a register takes change after change of its largest value") {
-    constexpr int kChanges = 60;  // more than twice round the ring
+TEST_CASE("The ring of a register accepts repeated changes of its largest value") {
+    constexpr int kChanges = 60;  // more than twice around the ring
     RingOptions options;
     options.capacity_bytes = kRegisterRingBytes;
     options.segment_bytes = kRegisterSegmentBytes;
@@ -167,7 +167,7 @@
     CHECK((harness.content() == expected));
 }
 
-TEST_CASE("A stalled disk doesn't fill the memory") {
+TEST_CASE("Memory use is bounded while the disk stalls") {
     RingOptions options = smallRing();
     options.capacity_bytes = 64 * 4096;
     options.max_unsynced_bytes = 10'000;
--- a/tests/cluster/ring_store_test.cpp
+++ b/tests/cluster/ring_store_test.cpp
@@ -1,4 +1,4 @@
-// What is special to the ring on disk: torn ends, damage, reuse of its files, space, and its report for
+// Tests specific to the on-disk ring: torn tails, damage, reuse of files, space, and the report for
 // operators.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "cluster/storage/ring_store.hpp"
@@ -21,7 +21,7 @@
 using ring_test::RingHarness;
 using ring_test::smallRing;
 
-// Where the records of a segment begin, and last where they end.
+// Returns the offsets of the records of a segment, followed by the end offset of the last one.
 std::vector<std::size_t> recordOffsets(const std::string& path) {
     SegmentFile file(path);
     REQUIRE(file.openForReading());
@@ -35,7 +35,7 @@
     return offsets;
 }
 
-// Three synced records in the first segment, and the process has ended.
+// Writes and syncs three records in the first segment and closes the store.
 Records writeThreeRecords(RingHarness& harness) {
     const Records records{{"a", "first value"}, {"b", "second value"}, {"c", "third value"}};
     for (const auto& [key, value] : records) REQUIRE(harness.store().put(key, value));
@@ -44,7 +44,7 @@
     return records;
 }
 
-TEST_CASE("A record that ends at any byte is dropped, and nothing before it") {
+TEST_CASE("A record truncated at any byte is dropped, and no earlier one") {
     RingHarness harness(1);
     Records expected = writeThreeRecords(harness);
     expected.erase("c");
@@ -61,7 +61,7 @@
         for (const std::string& torn : {whole.substr(0, cut), zeroed, garbled}) {
             ring_test::writeFile(path, torn);
             harness.open();
-            // The last bytes of a torn record may be zeros anyway: then it is whole.
+            // If the last bytes of the record are zeros, zeroing them leaves it intact.
             if (torn.compare(0, offsets[3], whole, 0, offsets[3]) != 0) CHECK(harness.content() == expected);
             CHECK(harness.store().put("d", "after the crash"));
             CHECK(harness.syncAndWait());
@@ -74,7 +74,7 @@
     }
 }
 
-TEST_CASE("A flipped bit is found wherever it is") {
+TEST_CASE("A flipped bit is detected at any position") {
     RingHarness harness(2);
     const Records records = writeThreeRecords(harness);
     const std::string path = segmentPath(harness.directory(), 0);
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("Damage that comes while the ring is open is reported, not handed out") {
+TEST_CASE("Damage that occurs while the ring is open makes reads throw") {
     RingHarness harness(3);
     REQUIRE(harness.store().put("a", std::string(100, 'a')));
     REQUIRE(harness.syncAndWait());
@@ -109,7 +109,7 @@
     CHECK_THROWS_AS(harness.content(), StorageError);
 }
 
-TEST_CASE("A walk over the records bears that the disk writes meanwhile") {
+TEST_CASE("forEach works while records are written to the disk") {
     RingHarness harness(3);
     REQUIRE(harness.store().put("a", "first"));
     REQUIRE(harness.syncAndWait());
@@ -122,7 +122,7 @@
     CHECK(seen == Records{{"a", "first"}, {"b", "second"}});
 }
 
-TEST_CASE("A missing file takes only its own records along") {
+TEST_CASE("A missing file loses only its own records") {
     RingHarness harness(4);
     for (int i = 0; i < 30; ++i) REQUIRE(harness.store().put(keyOf(i), std::string(400, 'v')));
     REQUIRE(harness.syncAndWait());
@@ -141,7 +141,7 @@
     CHECK(harness.content().size() == left + 1);
 }
 
-TEST_CASE("Files of other lengths, without content or of other names are borne") {
+TEST_CASE("Files of other lengths, empty files and unrelated files are tolerated") {
     RingHarness harness(5);
     const Records records = writeThreeRecords(harness);
     ring_test::writeFile(segmentPath(harness.directory(), 1), "");
@@ -162,8 +162,8 @@
     }
 }
 
-TEST_CASE("What an earlier use of a file left behind never comes back") {
-    // All records have one size, so those of earlier uses lie exactly behind those of the present one.
+TEST_CASE("Stale records of an earlier use of a file never reappear") {
+    // All records have the same size, so stale records directly follow those of the current use.
     RingHarness harness(6);
     Records expected;
     for (int i = 0; i < 2000; ++i) {
@@ -180,14 +180,14 @@
     CHECK(fileCount(harness.directory()) < 16);
 }
 
-// As after a loss of power in which the first block of an unsynced segment was lost and the others were not.
+// Simulates a power loss that loses only the first block of an unsynced segment.
 void loseHeader(const std::string& path) {
     std::string content = ring_test::readFile(path);
     content.replace(0, kSegmentHeaderBytes, kSegmentHeaderBytes, '\0');
     ring_test::writeFile(path, content);
 }
 
-TEST_CASE("Records behind a lost header don't come back when the next life writes the same segment") {
+TEST_CASE("Records behind a lost header don't reappear when the next process writes the same segment") {
     RingHarness harness(19);
     REQUIRE(harness.store().put("base", std::string(1000, 'b')));
     REQUIRE(harness.syncAndWait());
@@ -204,7 +204,7 @@
     CHECK(harness.content() == Records{{"base", std::string(1000, 'b')}, {"x", "later"}});
 }
 
-// The file of the newest segment.
+// Path of the file of the newest segment.
 std::string newestPath(const std::string& directory) {
     std::vector<std::shared_ptr<SegmentFile>> files;
     for (std::size_t slot = 0; slot < slotCountInDirectory(directory); ++slot) {
@@ -213,7 +213,7 @@
     return segmentPath(directory, readLayout(files, FileAccess::read_only).current.back().slot);
 }
 
-TEST_CASE("A removal outlives the put it removes when a file is lost while it is reused") {
+TEST_CASE("A removal stays effective when the header of a reused file is lost") {
     RingHarness harness(20);
     const auto overwriteUntilSegment = [&harness](std::uint64_t begun) {
         std::string value;
@@ -229,7 +229,7 @@
     overwriteUntilSegment(3);
     harness.store().erase("holds the first segment");
     REQUIRE(harness.syncAndWait());
-    overwriteUntilSegment(4);  // takes the file of the first or of the second segment; both are void
+    overwriteUntilSegment(4);  // reuses the file of the first or the second segment; both are released
     REQUIRE(harness.syncAndWait());
     harness.close();
     REQUIRE(fileCount(harness.directory()) == 3);
@@ -239,7 +239,7 @@
     CHECK(harness.store().read("filler").has_value());
 }
 
-TEST_CASE("A sync covers what was written before without one") {
+TEST_CASE("A sync covers records that were written earlier without a sync") {
     RingOptions options;
     options.capacity_bytes = 32 << 20;
     options.segment_bytes = 4 << 20;
@@ -292,7 +292,7 @@
     }
 }
 
-TEST_CASE("Calls that wait together share a sync") {
+TEST_CASE("Concurrent sync calls share a disk sync") {
     RingHarness harness(13);
     REQUIRE(harness.store().put("first", "1"));
     REQUIRE(harness.syncAndWait());
@@ -305,7 +305,7 @@
     const std::uint64_t syncs_before = harness.disk().syncs;
     harness.disk().releaseSyncs();
     REQUIRE(harness.runUntil([&answered] { return answered == 100; }));
-    // One for what was taken before the hold, one for the rest, and those between segments.
+    // One for the pass that was blocked, one for the rest, and those between segments.
     CHECK(harness.disk().syncs - syncs_before <= 5);
 }
 
@@ -318,7 +318,7 @@
     CHECK(harness.disk().syncs == syncs_before);
 }
 
-TEST_CASE("Options and folders that can't be used are refused") {
+TEST_CASE("Invalid options and directories are refused") {
     ManualScheduler scheduler;
     ring_test::TemporaryFolder folder;
     CHECK_THROWS_AS(RingStore(scheduler, folder.path() + "/ring", {5 * 4096, 4096, 1}),
@@ -328,11 +328,11 @@
     CHECK_THROWS_AS(RingStore(scheduler, folder.path() + "/file", smallRing()), StorageError);
 }
 
-TEST_CASE("What a killed process had written is made durable before another one tells of it") {
+TEST_CASE("Unsynced records of a killed process are made durable before the next process reports them") {
     RingHarness harness(17);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
-    // More than is kept in memory without a sync: written, never synced.
+    // More than is kept in memory without a sync, so some of it is written but never synced.
     RingOptions options = smallRing();
     options.capacity_bytes = 8 << 20;
     options.segment_bytes = 1 << 20;
@@ -348,7 +348,7 @@
     }
 }
 
-TEST_CASE("Small rings through many crashes") {
+TEST_CASE("Small rings survive many crashes") {
     for (std::uint64_t seed = 1000; seed < 1060; ++seed) {
         const auto make = [](std::uint64_t of_seed) {
             RingOptions options;
--- a/tests/cluster/ring_test_support.hpp
+++ b/tests/cluster/ring_test_support.hpp
@@ -1,5 +1,6 @@
-// Folders for tests of the ring, and a disk that loses power: which bytes a sync has covered is learnt from
-// the calls of fdatasync, which this program defines itself. The same way it fails on demand.
+// Temporary directories for tests of the ring, and a disk that simulates power loss and I/O errors. The test
+// program replaces fdatasync, pwrite, pread and fallocate of the C library, to track which bytes a sync has
+// covered and to inject errors.
 #pragma once
 
 #include <fcntl.h>
@@ -37,7 +38,7 @@
     if (!file.flush()) throw std::runtime_error("cannot write " + path);
 }
 
-// A folder that is removed at the end of its scope.
+// A directory that is removed at the end of the scope.
 class TemporaryFolder {
 public:
     TemporaryFolder() {
@@ -51,7 +52,7 @@
     const std::string& path() const { return path_; }
 
 private:
-    // In memory where that can be had, unless TMPDIR asks for another place.
+    // In memory if possible, unless TMPDIR is set.
     static std::string root() {
         const std::string in_memory = "/dev/shm";
         const bool asked = std::getenv("TMPDIR") != nullptr;
@@ -62,7 +63,8 @@
     std::string path_;
 };
 
-// Watches the syncs of this process while one exists.
+// Intercepts the file operations of this process during its lifetime. If several exist, the one created last
+// does.
 class FaultInjectingDisk {
 public:
     FaultInjectingDisk() { current() = this; }
@@ -75,16 +77,16 @@
         return watched;
     }
 
-    // What every call gives at once: an errno value; 0: it works.
+    // The errno value with which every call of the kind fails; 0: calls succeed.
     std::atomic<int> sync_error{0};
     std::atomic<int> write_error{0};
-    std::atomic<int> reserve_error{0};  // of giving a new file its blocks
+    std::atomic<int> reserve_error{0};  // of fallocate on a new file
     std::atomic<int> read_error{0};
-    // Writes that still work before they fail; the last of them is cut in the middle.
+    // Number of writes before write_error takes effect; only half of the last of them is written.
     std::atomic<int> writes_before_error{0};
     std::atomic<std::uint64_t> syncs{0};
 
-    // While held, syncs don't end.
+    // Blocks all syncs until releaseSyncs().
     void holdSyncs() {
         const std::lock_guard lock(mutex_);
         held_ = true;
@@ -97,7 +99,7 @@
         changed_.notify_all();
     }
 
-    // How much of a write of that size goes through: all of it, or nothing, or a part before it fails.
+    // Returns how many bytes of a write of that size are written: all, half or none.
     std::size_t admittedBytes(std::size_t bytes) {
         if (write_error == 0) return bytes;
         if (writes_before_error <= 0) return 0;
@@ -116,7 +118,7 @@
         }
         changed_.notify_all();
     }
-    // Waits until this much has been written in all; false if that takes long.
+    // Waits until this many bytes have been written in total. Returns false after kMaxWait.
     bool waitUntilWritten(std::size_t bytes) {
         std::unique_lock lock(mutex_);
         return changed_.wait_for(lock, kMaxWait, [this, bytes] { return written_bytes_ >= bytes; });
@@ -145,8 +147,8 @@
         return 0;
     }
 
-    // Leaves in each file what its last sync covered, with a random part of what was written later. Nobody
-    // may be writing.
+    // Restores in each file the bytes that its last sync covered, plus a random part of later writes. There
+    // must be no concurrent writes.
     void losePower(const std::string& folder, std::mt19937_64& random) {
         const std::lock_guard lock(mutex_);
         const bool lose_all_unsynced = random() % 4 == 0;
@@ -170,11 +172,11 @@
 private:
     static constexpr std::chrono::seconds kMaxWait{20};
 
-    // As the kernel does it, what a failed sync was for counts as written and is never tried again; only
-    // bytes that are written anew can become durable.
+    // Models the kernel's page cache: after a failed sync the pages are marked clean and never written back,
+    // so only bytes that are written again can become durable.
     struct FileState {
-        std::vector<std::pair<std::size_t, std::size_t>>
-            dirty;  // offset and size of writes since the last sync
+        // Offset and size of each write since the last sync.
+        std::vector<std::pair<std::size_t, std::size_t>> dirty;
         std::vector<bool> lost;
 
         void loseDirty() {
@@ -200,13 +202,13 @@
             if (durable.size() >= end &&
                 durable.compare(start, end - start, written, start, end - start) == 0)
                 continue;
-            if (mode == 0 || random() % 2 == 0) continue;  // this block is there
+            if (mode == 0 || random() % 2 == 0) continue;  // this block survives
             const std::size_t torn_from = start + random() % (end - start);
             for (std::size_t i = torn_from; i < end; ++i) {
                 const char before = i < durable.size() ? durable[i] : '\0';
                 left[i] = mode == 1 ? before : static_cast<char>(random());
             }
-            // Bytes that an earlier sync covered keep their value even inside a torn block.
+            // Bytes covered by an earlier sync and not changed since keep their value even in a torn block.
             for (std::size_t i = torn_from; i < end; ++i) {
                 if (i < durable.size() && durable[i] == written[i]) left[i] = written[i];
             }
@@ -224,7 +226,7 @@
 
 }  // namespace amberswitch::cluster::ring_test
 
-// These take the place of the C library's in this test program.
+// These functions replace those of the C library in the test program.
 extern "C" inline __attribute__((used)) int fdatasync(int descriptor) {
     using amberswitch::cluster::ring_test::FaultInjectingDisk;
     if (FaultInjectingDisk* disk = FaultInjectingDisk::current()) return disk->sync(descriptor);
@@ -268,7 +270,8 @@
     return static_cast<int>(::syscall(SYS_fallocate, descriptor, mode, offset, length));
 }
 
-// Of folders only, whose names the watched disk keeps anyway: no test has to wait for the real disk.
+// Does nothing: only directories are synced with fsync, and the simulated power loss doesn't depend on it. So
+// no test waits for the real disk.
 extern "C" inline __attribute__((used)) int fsync(int) {
     return 0;
 }
--- a/tests/cluster/store_world_disk.hpp
+++ b/tests/cluster/store_world_disk.hpp
@@ -1,4 +1,4 @@
-// A machine's disk in store_world.hpp: it loses what was not synced.
+// Simulated disk of a machine in store_world.hpp. It loses unsynced changes on a power loss.
 #pragma once
 
 #include <deque>
@@ -12,23 +12,23 @@
 
 namespace amberswitch::cluster::simulation {
 
-// What is on a machine's platter; outlives its processes.
+// Durable contents and fault settings of a machine's disk; outlives the machine's processes.
 struct DiskState {
     std::map<std::string, std::string, std::less<>> synced;
     bool formatted = false;
     std::uint64_t capacity = 400u << 20;
-    bool fails = false;       // syncs, from the next one on
-    bool unreadable = false;  // records can't be read
-    bool recovers = true;     // false: a store that has failed once fails for as long as its process lasts
+    bool fails = false;       // syncs fail from the next one on
+    bool unreadable = false;  // reads of existing records fail
+    bool recovers = true;     // false: after its first failure a store keeps failing until its process ends
 };
 
-// The disk as one process sees it. What was staged but not synced is lost with the power.
+// RecordStore of one process on that disk. Staged changes that were not synced are lost on a power loss.
 class FakeDisk : public RecordStore {
 public:
-    FakeDisk(World& world, Scheduler& scheduler, DiskState& platter)
-        : world_(world), scheduler_(scheduler), state_(platter), records_(platter.synced) {
-        was_empty_ = !platter.formatted;
-        platter.formatted = true;
+    FakeDisk(World& world, Scheduler& scheduler, DiskState& state)
+        : world_(world), scheduler_(scheduler), state_(state), records_(state.synced) {
+        was_empty_ = !state.formatted;
+        state.formatted = true;
         for (const auto& [key, value] : records_) live_ += key.size() + value.size();
     }
     bool put(std::string_view key, std::string_view value) override {
@@ -73,11 +73,11 @@
     bool healthy() const override { return healthy_; }
     void onHealthChange(std::function<void(bool)> listener) override { listener_ = std::move(listener); }
 
-    // The process ends but the machine goes on: what was staged still reaches the platter.
+    // Simulates the end of the process while the machine keeps running: staged changes still reach the disk.
     void writeAll() {
         if (!state_.fails) writeUpTo(written_ + staged_.size());
     }
-    // The power goes: a part of what was staged may have been written, in its order.
+    // Simulates a power loss: a random prefix of the staged changes reaches the disk.
     void losePower() {
         if (state_.fails) return;
         writeUpTo(written_ + static_cast<std::size_t>(world_.chance() * 1.5 * (staged_.size())));
--- a/tests/history/disk_journal.hpp
+++ b/tests/history/disk_journal.hpp
@@ -1,5 +1,6 @@
-// A journal of what this process writes to the files of one folder, and the states in which a loss of power
-// after each of its steps may leave them. The calls of the C library are replaced in the whole program.
+// Records the writes and syncs of this process to the files of one directory, and derives the states in which
+// a power loss after each step may leave these files. Replaces pwrite, fdatasync and fsync of the C library
+// in the whole program.
 #pragma once
 
 #include <sys/syscall.h>
@@ -20,7 +21,7 @@
 
 namespace amberswitch::cluster::history {
 
-// A folder in memory that is removed at the end of its scope.
+// A directory, in memory if possible, that is removed at the end of the scope.
 class ScratchFolder {
 public:
     ScratchFolder() {
@@ -39,7 +40,7 @@
     std::string path_;
 };
 
-// One step: bytes written to a file, or a sync of it that ended.
+// One step: bytes written to a file, or a completed sync of it.
 struct DiskStep {
     std::string path;
     bool is_sync = false;
@@ -49,7 +50,7 @@
 
 class DiskJournal {
 public:
-    // Records the files of that folder while it lives; one at a time.
+    // Records the steps on files of that directory during its lifetime. At most one exists at a time.
     explicit DiskJournal(std::string folder) : folder_(std::move(folder)) { current() = this; }
     ~DiskJournal() { current() = nullptr; }
     DiskJournal(const DiskJournal&) = delete;
@@ -87,15 +88,16 @@
     std::vector<DiskStep> steps_;
 };
 
-// What is on the disk after a loss of power.
+// Which writes survive a power loss.
 enum class PowerLoss : std::uint8_t {
-    keeps_all,     // as after a kill of the process
-    tears_last,    // all but a part of the last write
-    keeps_synced,  // only what a sync has covered
-    keeps_some,    // that, and any of the other writes
+    keeps_all,     // all writes, as after a kill of the process
+    tears_last,    // all writes, but only a prefix of the last one
+    keeps_synced,  // only writes covered by a sync
+    keeps_some,    // writes covered by a sync, and a random selection of the others
 };
 
-// The files after the first `count` steps and that loss. Files have their whole length from the first write.
+// Returns the files after the first `count` steps and a power loss. Files have their full length from the
+// first write.
 inline std::map<std::string, std::string> filesAfter(const std::vector<DiskStep>& steps, std::size_t count,
                                                      std::uint64_t file_bytes, PowerLoss loss,
                                                      std::mt19937_64& random) {
@@ -132,7 +134,7 @@
 
 }  // namespace amberswitch::cluster::history
 
-// These take the place of the C library's in this test program.
+// These functions replace those of the C library in the test program.
 extern "C" inline __attribute__((used)) ssize_t pwrite(int descriptor, const void* bytes, std::size_t size,
                                                        off_t offset) {
     using amberswitch::cluster::history::DiskJournal;
--- a/tests/history/ring_power_test.cpp
+++ b/tests/history/ring_power_test.cpp
@@ -1,5 +1,5 @@
-// Power is lost after each single write and sync of a ring that is cleaned and reused all the time: what was
-// synced is there in every state that the disk may be in.
+// Simulates a power loss after each write and sync of a ring with constant cleaning and reuse. Synced records
+// must survive in every state in which the disk may be left.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -26,7 +26,7 @@
 constexpr int kSteps = 90;
 constexpr int kMaxChangesPerSync = 4;  // between two syncs
 
-// A ring in a folder, whose syncs are waited for.
+// An open ring whose sync() waits for the result.
 class RingSession {
 public:
     RingSession(const std::string& folder, const RingOptions& options)
@@ -48,23 +48,23 @@
     RingStore store_;
 };
 
-// How much was synced once that many steps of the disk were done.
+// The number of changes that were synced after that many disk steps.
 struct SyncPoint {
     std::size_t disk_steps = 0;
     std::size_t changes = 0;
 };
 
-// A seeded run of a ring: the content after each change, the syncs, and the journal of the disk.
+// A seeded run of a ring: the content after each change, the syncs, and the recorded disk steps.
 struct RecordedRun {
     RingOptions options;
-    std::vector<Content> contents{{}};  // by the number of changes
+    std::vector<Content> contents{{}};  // index: number of changes
     std::vector<SyncPoint> syncs{{}};
     std::vector<DiskStep> steps;
     RingStatistics statistics;
 };
 
 void change(RingStore& store, std::mt19937_64& random, Content& content) {
-    // Some keys never change again, so that cleaning has to carry them along.
+    // Some keys are rarely written again, so that cleaning has to rewrite their records.
     const bool stays = random() % 10 == 0;
     const std::string key = (stays ? "stays" : "hot") + std::to_string(random() % (stays ? 12 : 5));
     if (!stays && random() % 5 == 0) {
@@ -100,14 +100,14 @@
     return run;
 }
 
-// The index of the last sync that had ended after that many steps.
+// Returns the index of the last sync completed within that many disk steps.
 std::size_t lastSync(const RecordedRun& run, std::size_t steps) {
     std::size_t last = 0;
     while (last + 1 < run.syncs.size() && run.syncs[last + 1].disk_steps <= steps) ++last;
     return last;
 }
 
-// Whether each key has the synced value or one that it was given since.
+// Returns whether each key has its synced value or one that was written later.
 bool holdsSynced(const RecordedRun& run, const Content& found, std::size_t from, std::size_t to) {
     std::map<std::string, bool> good;
     for (std::size_t index = from; index <= to; ++index) {
@@ -146,7 +146,7 @@
         found = ring.content();
         REQUIRE(holdsSynced(run, found, from, to));
         if (random() % 4 != 0) return;
-        // What was found stays, whatever the next process writes, until it is changed.
+        // The records found remain until they are changed, whatever the next process writes.
         for (int index = 0; index < 12; ++index) {
             const std::string value(400, static_cast<char>('A' + index));
             if (ring.store().put("next", value)) found["next"] = value;
@@ -175,7 +175,7 @@
 
 }  // namespace
 
-TEST_CASE("power lost after any write or sync of a ring that is being cleaned loses nothing synced") {
+TEST_CASE("a power loss after any write or sync of a ring during cleaning loses no synced record") {
     Totals totals;
     const SeedRange seeds = seedRange({1, 6});
     for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) checkPowerLossAtEachStep(seed, totals);
