--- a/src/cluster/control/register_voter.cpp
+++ b/src/cluster/control/register_voter.cpp
@@ -30,7 +30,7 @@
 bool RegisterVoter::load() {
     try {
         const bool has_records = loadRecords();
-        if (!disk_.lacksRecords()) return has_records;
+        if (!disk_.hasMissingRecords()) return has_records;
         LOG(ERROR)
             << "register records are missing on disk; this machine does not vote until it has recovered";
         data_valid_ = false;
--- a/tests/cluster/control_disk_test.cpp
+++ b/tests/cluster/control_disk_test.cpp
@@ -4,7 +4,7 @@
 #include <doctest/doctest.h>
 
 #include "tests/cluster/control_world.hpp"
-#include "tests/cluster/disk_plays.hpp"
+#include "tests/cluster/disk_run_count.hpp"
 
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::simulation;
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Millis kOutage{4000};
-constexpr Millis kUntilLoss{7000};  // from the end of the outage
+constexpr Millis kOutageToLoss{7000};  // from the end of the outage
 
 // An operator that bases each change on what it last read, and remembers what was acknowledged.
 class Operator {
@@ -80,7 +80,7 @@
     }
     const std::int64_t taken_during = client.acknowledged();
     failing.disk().fails = false;
-    sim.world.run(kUntilLoss);
+    sim.world.run(kOutageToLoss);
     if (taken_during < 3) return "changes were not accepted while one disk failed";
     const bool votes_again = failing.votes();
 
@@ -119,7 +119,7 @@
 }  // namespace
 
 TEST_CASE("a disk that fails for four seconds, and the loss of another core machine seven seconds later") {
-    const std::uint64_t runs = diskPlays(60);
+    const std::uint64_t runs = diskRunCount(60);
     const std::size_t broken = runMany(runs);
     MESSAGE(broken << " of " << runs << " runs failed");
     CHECK(broken == 0);
--- a/tests/cluster/disk_plays.hpp
+++ b/tests/cluster/disk_run_count.hpp
@@ -1,5 +1,5 @@
-// How many plays of a kind the tests of failing disks run: few in an ordinary run, or as many as the
-// environment variable DISK_PLAYS says.
+// Number of seeded scenarios that the tests of failing disks run: the given default, or the value of the
+// environment variable DISK_PLAYS.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace amberswitch::cluster::simulation {
 
-inline std::uint64_t diskPlays(std::uint64_t ordinary) {
+inline std::uint64_t diskRunCount(std::uint64_t ordinary) {
     const char* const wanted = std::getenv("DISK_PLAYS");
     return wanted == nullptr ? ordinary : std::stoull(wanted);
 }
--- a/tests/cluster/record_store_contract.hpp
+++ b/tests/cluster/record_store_contract.hpp
@@ -1,5 +1,5 @@
-// What every record store must do. A test program gives a harness for its kind of store and calls
-// testRecordStoreContract with it.
+// Contract tests for implementations of RecordStore. A test program provides a harness for its store and
+// passes it to testRecordStoreContract.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -16,26 +16,26 @@
 
 namespace amberswitch::cluster {
 
-// One store over a disk that outlives it.
+// Owns a store and its disk, which outlives the store.
 class RecordStoreHarness {
 public:
     virtual ~RecordStoreHarness() = default;
     virtual RecordStore& store() = 0;
-    // The process ends and another one opens the store; what was written and not synced may be there.
+    // Reopens the store as a new process; unsynced changes may survive.
     virtual void restart() = 0;
-    // Power is lost, and another process opens the store.
+    // Loses power and reopens the store as a new process.
     virtual void losePower() = 0;
     virtual void wipe() = 0;
-    // The disk stops finishing syncs, or goes on.
+    // While stalled, syncs don't complete.
     virtual void setStalled(bool stalled) = 0;
-    // The disk fails, or works again; the store finds out by itself.
+    // Makes the disk fail or work again; the store detects it by itself.
     virtual void setFailing(bool failing) = 0;
-    // Plays until the condition holds; false if it doesn't for long.
+    // Runs the scheduler until the condition holds. Returns false on a timeout.
     virtual bool runUntil(const std::function<bool()>& holds) = 0;
-    // Plays what there is to do at this moment.
+    // Runs the tasks that are due now.
     virtual void runPending() = 0;
 
-    // Syncs and waits for the outcome.
+    // Syncs and waits. Returns true if the changes are durable.
     bool syncAndWait() {
         std::optional<bool> durable;
         store().sync([&durable](bool result) { durable = result; });
@@ -77,7 +77,7 @@
     CHECK(store.read("a") == std::string("\0two", 4));
 }
 
-inline void checkKeepsWhatWasSynced(const HarnessFactory& make) {
+inline void checkKeepsSyncedRecords(const HarnessFactory& make) {
     const auto harness = make(2);
     CHECK(harness->store().put("kept", std::string(300, 'k')));
     CHECK(harness->store().put("changed", "before"));
@@ -120,7 +120,7 @@
     for (int i = 0; i < 20; ++i) CHECK(answered[static_cast<std::size_t>(i)] == i);
 }
 
-inline void checkAnswersOnlyLater(const HarnessFactory& make) {
+inline void checkNeverAnswersSynchronously(const HarnessFactory& make) {
     const auto harness = make(5);
     bool answered = false;
     harness->store().sync([&answered](bool) { answered = true; });
@@ -169,11 +169,11 @@
     CHECK_FALSE(harness->syncAndWait());
 }
 
-// A sync that failed is never trusted later: what it was for is durable once the store is healthy.
-inline void checkComesBackAfterAFailure(const HarnessFactory& make) {
+// All changes staged before or during a failure are durable once the store is healthy again.
+inline void checkRecoversAfterFailure(const HarnessFactory& make) {
     const auto harness = make(10);
-    std::vector<bool> told;
-    harness->store().onHealthChange([&told](bool healthy) { told.push_back(healthy); });
+    std::vector<bool> health_changes;
+    harness->store().onHealthChange([&health_changes](bool healthy) { health_changes.push_back(healthy); });
     CHECK(harness->store().put("old", "1"));
     CHECK(harness->store().put("gone", "x"));
     CHECK(harness->syncAndWait());
@@ -183,27 +183,29 @@
         const std::string key = "new" + std::to_string(round);
         CHECK(harness->store().put(key, std::string(200, 'n')));
         CHECK_FALSE(harness->syncAndWait());
-        CHECK(harness->runUntil([&told] { return !told.empty() && !told.back(); }));
+        CHECK(harness->runUntil(
+            [&health_changes] { return !health_changes.empty() && !health_changes.back(); }));
         CHECK(harness->store().putFromReserve("promise", key));
         harness->store().erase("gone");
         harness->runPending();
         harness->setFailing(false);
-        CHECK(harness->runUntil([&told] { return told.back(); }));
+        CHECK(harness->runUntil([&health_changes] { return health_changes.back(); }));
         CHECK(harness->store().healthy());
         CHECK(harness->store().put("after", key));
         CHECK(harness->syncAndWait());
         harness->losePower();
-        harness->store().onHealthChange([&told](bool healthy) { told.push_back(healthy); });
+        harness->store().onHealthChange(
+            [&health_changes](bool healthy) { health_changes.push_back(healthy); });
         CHECK(harness->store().read(key) == std::string(200, 'n'));
         CHECK(harness->store().read("promise") == key);
         CHECK(harness->store().read("after") == key);
         CHECK(harness->store().read("old") == "1");
         CHECK(harness->store().read("gone") == std::nullopt);
     }
-    CHECK(told == std::vector<bool>{false, true, false, true, false, true});
+    CHECK(health_changes == std::vector<bool>{false, true, false, true, false, true});
 }
 
-// Until then, what was answered as durable is there after a loss of power, and nothing that was not staged.
+// After a power loss during a failure, the store holds either the durable value or the one staged later.
 inline void checkPowerLossWhileItFails(const HarnessFactory& make) {
     const auto harness = make(11);
     CHECK(harness->store().put("old", std::string(1000, 'o')));
@@ -241,8 +243,8 @@
     CHECK(harness->content().size() == expected.size() - 19);
 }
 
-// Callbacks of a store that is gone never run.
-inline void checkForgetsCallbacksAtItsEnd(const HarnessFactory& make) {
+// Callbacks of a destroyed store never run.
+inline void checkDropsCallbacksOnDestruction(const HarnessFactory& make) {
     const auto harness = make(9);
     bool answered = false;
     CHECK(harness->store().put("a", "1"));
@@ -253,17 +255,17 @@
     CHECK_FALSE(answered);
 }
 
-// Changes since the last answered sync, as one record of what the store may hold after a crash.
+// Model of a store's contents: the changes since the last crash, and how many of them are durable.
 class CrashModel {
 public:
     void put(const std::string& key, const std::string& value) { add({key, value}); }
     void erase(const std::string& key) { add({key, std::nullopt}); }
     const Records& current() const { return current_; }
     std::size_t changes() const { return changes_.size(); }
-    // The first `count` changes are durable.
+    // Records that the first `count` changes are durable.
     void synced(std::size_t count) { durable_count_ = std::max(durable_count_, count); }
-    // The content must be what some beginning of the changes gives that covers all that is durable. Goes on
-    // from it.
+    // Returns whether the content results from a prefix of the changes that includes all durable ones.
+    // Continues from this content.
     bool accept(const Records& content) {
         Records state = base_;
         bool matched = false;
@@ -300,8 +302,8 @@
     std::size_t durable_count_ = 0;
 };
 
-// Random changes with restarts and losses of power: after each the store holds a beginning of what was
-// staged, with everything that was answered as durable.
+// Applies random changes with restarts and power losses. After each of these the store must hold a prefix of
+// the staged changes that includes all changes reported as durable.
 inline void checkRandomCrashes(const HarnessFactory& make, std::uint64_t seed, int rounds,
                                bool fails_at_times = false) {
     CAPTURE(seed);
@@ -310,7 +312,7 @@
     CrashModel model;
     for (int round = 0; round < rounds; ++round) {
         CAPTURE(round);
-        const auto life = std::make_shared<CrashModel*>(&model);
+        const auto model_access = std::make_shared<CrashModel*>(&model);
         const auto changes = random() % 120;
         for (std::uint64_t i = 0; i < changes; ++i) {
             const std::string key = "k" + std::to_string(random() % 40);
@@ -324,8 +326,8 @@
                 harness->store().erase(key);
                 if (model.current().contains(key)) model.erase(key);
             } else if (choice == 8) {
-                harness->store().sync([life, count = model.changes()](bool durable) {
-                    if (durable && *life) (*life)->synced(count);
+                harness->store().sync([model_access, count = model.changes()](bool durable) {
+                    if (durable && *model_access) (*model_access)->synced(count);
                 });
             } else {
                 harness->runPending();
@@ -344,8 +346,8 @@
         } else {
             harness->losePower();
         }
-        *life = nullptr;
-        CHECK_FALSE(harness->store().lacksRecords());
+        *model_access = nullptr;
+        CHECK_FALSE(harness->store().hasMissingRecords());
         REQUIRE(model.accept(harness->content()));
     }
 }
@@ -354,8 +356,8 @@
     SUBCASE("reads its writes") {
         checkReadsItsWrites(make);
     }
-    SUBCASE("keeps what was synced") {
-        checkKeepsWhatWasSynced(make);
+    SUBCASE("keeps synced records") {
+        checkKeepsSyncedRecords(make);
     }
     SUBCASE("is empty after a wipe") {
         checkIsEmptyAfterWipe(make);
@@ -363,8 +365,8 @@
     SUBCASE("answers syncs in call order") {
         checkAnswersSyncsInOrder(make);
     }
-    SUBCASE("answers a sync only later") {
-        checkAnswersOnlyLater(make);
+    SUBCASE("never answers a sync synchronously") {
+        checkNeverAnswersSynchronously(make);
     }
     SUBCASE("waits for a stalled disk") {
         checkWaitsForAStalledDisk(make);
@@ -372,22 +374,22 @@
     SUBCASE("stays readable while it fails") {
         checkStaysReadableWhileItFails(make);
     }
-    SUBCASE("comes back after a failure") {
-        checkComesBackAfterAFailure(make);
+    SUBCASE("recovers after a failure") {
+        checkRecoversAfterFailure(make);
     }
-    SUBCASE("a loss of power while it fails") {
+    SUBCASE("power loss during a failure") {
         checkPowerLossWhileItFails(make);
     }
     SUBCASE("refuses when full") {
         checkRefusesWhenFull(make);
     }
-    SUBCASE("forgets callbacks at its end") {
-        checkForgetsCallbacksAtItsEnd(make);
+    SUBCASE("drops callbacks on destruction") {
+        checkDropsCallbacksOnDestruction(make);
     }
     SUBCASE("random crashes") {
         for (std::uint64_t seed = 100; seed < 130; ++seed) checkRandomCrashes(make, seed, 25);
     }
-    SUBCASE("random crashes of a disk that fails at times") {
+    SUBCASE("random crashes with disk failures") {
         for (std::uint64_t seed = 200; seed < 230; ++seed) checkRandomCrashes(make, seed, 25, true);
     }
 }
--- a/tests/cluster/ring_failure_test.cpp
+++ b/tests/cluster/ring_failure_test.cpp
@@ -1,4 +1,5 @@
-// A ring on a disk that is full or fails: what is left on it, what can still be done, and how it comes back.
+// Ring stores on a disk that is full or fails: which records survive, which operations still work, and the
+// recovery.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,26 +16,26 @@
 namespace amberswitch::cluster {
 namespace {
 
-using ring_test::filesIn;
+using ring_test::fileCount;
 using ring_test::keyOf;
 using ring_test::readFile;
 using ring_test::RingHarness;
 using ring_test::smallRing;
 using ring_test::writeFile;
 
-bool comesBack(RingHarness& harness) {
+bool recovers(RingHarness& harness) {
     return harness.runUntil([&harness] { return harness.store().healthy(); });
 }
 
-// The health is told through the scheduler, so that there is something to wait for.
-void listen(RingHarness& harness) {
+// Registers a health listener. Health changes are then posted to the scheduler, so that runUntil() wakes up.
+void subscribeToHealth(RingHarness& harness) {
     harness.store().onHealthChange([](bool) {});
 }
 
-// Lets the watch of the disk look again and again, until `holds` or many looks are over.
-bool lookUntil(RingHarness& harness, const std::function<bool()>& holds) {
-    constexpr int kMostLooks = 1'000'000;
-    for (int look = 0; look < kMostLooks && !holds(); ++look) {
+// Runs the stall checks until `holds` returns true, at most kMaxRounds times.
+bool fireTimersUntil(RingHarness& harness, const std::function<bool()>& holds) {
+    constexpr int kMaxRounds = 1'000'000;
+    for (int round = 0; round < kMaxRounds && !holds(); ++round) {
         harness.fireTimers();
         harness.runPending();
         std::this_thread::yield();
@@ -44,22 +45,22 @@
 
 }  // namespace
 
-TEST_CASE("A sync that does not return counts as failed, and all is durable once it has returned") {
+TEST_CASE("A stalled sync counts as failed, and all changes are durable once it has returned") {
     RingHarness harness(21);
-    listen(harness);
+    subscribeToHealth(harness);
     REQUIRE(harness.store().put("before", "1"));
     REQUIRE(harness.syncAndWait());
-    harness.disk().hold();
+    harness.disk().holdSyncs();
     std::optional<bool> durable;
     REQUIRE(harness.store().put("during", "2"));
-    harness.store().sync([&durable](bool told) { durable = told; });
-    REQUIRE(lookUntil(harness, [&durable] { return durable.has_value(); }));
+    harness.store().sync([&durable](bool result) { durable = result; });
+    REQUIRE(fireTimersUntil(harness, [&durable] { return durable.has_value(); }));
     CHECK(durable == false);
     CHECK_FALSE(harness.store().healthy());
     CHECK_FALSE(harness.store().put("refused", "3"));
     CHECK(harness.store().read("during") == "2");
-    harness.disk().release();
-    REQUIRE(comesBack(harness));
+    harness.disk().releaseSyncs();
+    REQUIRE(recovers(harness));
     REQUIRE(harness.store().put("after", "4"));
     REQUIRE(harness.syncAndWait());
     harness.losePower();
@@ -68,7 +69,7 @@
     CHECK(harness.store().read("after") == "4");
 }
 
-TEST_CASE("A ring whose disk refuses to be read while it is opened is opened once it can be") {
+TEST_CASE("Opening a ring is retried until its disk can be read") {
     RingHarness harness(23);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -87,9 +88,9 @@
     CHECK(pauses.back() == Millis(1000));
 }
 
-TEST_CASE("A disk that nobody waits for, or that goes on from pass to pass, has not stalled") {
+TEST_CASE("A disk without waiting syncs, or with progress from pass to pass, does not count as stalled") {
     RingHarness harness(22);
-    listen(harness);
+    subscribeToHealth(harness);
     for (int i = 0; i < 100; ++i) {
         REQUIRE(harness.store().put(keyOf(i), "v"));
         REQUIRE(harness.syncAndWait());
@@ -99,11 +100,11 @@
     CHECK(harness.store().healthy());
 }
 
-TEST_CASE("A write that is cut in the middle leaves a beginning, and is written over when there is room") {
+TEST_CASE("A partial write leaves a prefix and is overwritten once the disk has space") {
     for (int before = 1; before <= 3; ++before) {
         CAPTURE(before);
         RingHarness harness(1);
-        listen(harness);
+        subscribeToHealth(harness);
         REQUIRE(harness.store().put("old", std::string(300, 'o')));
         REQUIRE(harness.syncAndWait());
         harness.disk().writes_before_error = before;
@@ -116,14 +117,14 @@
         REQUIRE_FALSE(harness.syncAndWait());
         CHECK(harness.content() == expected);
         harness.disk().write_error = 0;
-        REQUIRE(comesBack(harness));
+        REQUIRE(recovers(harness));
         CHECK(harness.content() == expected);
         harness.losePower();
         CHECK(harness.content() == expected);
     }
 }
 
-TEST_CASE("A process that ends while the disk is full leaves what was synced and a beginning of the rest") {
+TEST_CASE("A process that ends while the disk is full leaves synced records and a prefix of the others") {
     for (int before = 0; before <= 4; ++before) {
         CAPTURE(before);
         RingHarness harness(2);
@@ -136,7 +137,7 @@
         harness.close();
         harness.disk().write_error = 0;
         harness.open();
-        CHECK_FALSE(harness.store().lacksRecords());
+        CHECK_FALSE(harness.store().hasMissingRecords());
         CHECK(harness.store().read("old") == std::string(300, 'o'));
         const Records found = harness.content();
         for (int i = 1; i < 30; ++i) {
@@ -148,19 +149,19 @@
     }
 }
 
-TEST_CASE("A ring that is opened on a full disk comes up once there is room") {
+TEST_CASE("A ring opened on a full disk becomes healthy once there is space") {
     RingHarness harness(3);
     harness.close();
     std::filesystem::remove_all(harness.directory());
     harness.disk().reserve_error = ENOSPC;
     harness.open();
-    listen(harness);
+    subscribeToHealth(harness);
     CHECK(harness.store().wasEmpty());
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE_FALSE(harness.syncAndWait());
     CHECK_FALSE(harness.store().healthy());
     harness.disk().reserve_error = 0;
-    REQUIRE(comesBack(harness));
+    REQUIRE(recovers(harness));
     harness.losePower();
     CHECK(harness.store().read("a") == "1");
 }
@@ -174,18 +175,18 @@
         harness.failBySyncs(by_syncs);
         harness.setFailing(true);
         harness.restart();
-        listen(harness);
+        subscribeToHealth(harness);
         CHECK_FALSE(harness.store().healthy());
         CHECK(harness.store().read("a") == "1");
         REQUIRE_FALSE(harness.syncAndWait());
         harness.setFailing(false);
-        REQUIRE(comesBack(harness));
+        REQUIRE(recovers(harness));
         harness.losePower();
         CHECK(harness.store().read("a") == "1");
     }
 }
 
-TEST_CASE("What was written before a failed sync of the last process is not trusted on opening") {
+TEST_CASE("Records before a failed sync of the previous process are written again on opening") {
     RingHarness harness(5);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -195,18 +196,18 @@
     harness.close();
     harness.setFailing(false);
     harness.open();
-    // The kernel still shows the bytes, and calls them clean.
+    // The bytes are still in the page cache, where they are marked clean.
     REQUIRE(harness.store().read("b") == "2");
     harness.losePower();
     CHECK(harness.store().read("b") == "2");
 }
 
-TEST_CASE("While the disk fails memory stays bounded, and ends find room after messages have none") {
+TEST_CASE("During a disk failure memory use is bounded, and putFromReserve works when put is refused") {
     RingOptions options = smallRing();
     options.capacity_bytes = 64 * 4096;
-    options.unwritten_limit_bytes = 10'000;
+    options.max_unsynced_bytes = 10'000;
     RingHarness harness(6, options);
-    listen(harness);
+    subscribeToHealth(harness);
     REQUIRE(harness.store().put("kept", "v"));
     REQUIRE(harness.syncAndWait());
     harness.setFailing(true);
@@ -220,7 +221,7 @@
     harness.store().erase("kept");
     const Records expected = harness.content();
     harness.setFailing(false);
-    REQUIRE(comesBack(harness));
+    REQUIRE(recovers(harness));
     CHECK(harness.store().put("goes on", "v"));
     REQUIRE(harness.syncAndWait());
     harness.store().erase("goes on");
@@ -229,7 +230,7 @@
     CHECK(harness.content() == expected);
 }
 
-TEST_CASE("A full ring still takes ends and removals") {
+TEST_CASE("A full ring still accepts putFromReserve and removals") {
     RingHarness harness(7);
     int taken = 0;
     while (taken < 10'000 && harness.store().put(keyOf(taken), std::string(400, 'v'))) {
@@ -251,7 +252,7 @@
     CHECK(harness.content().size() == 20);
 }
 
-TEST_CASE("A record that can't be read is neither there nor absent, and can be read when that is over") {
+TEST_CASE("Reading an unreadable record throws, and works again after the fault") {
     RingHarness harness(8);
     REQUIRE(harness.store().put("a", "1"));
     REQUIRE(harness.syncAndWait());
@@ -266,7 +267,7 @@
     CHECK(harness.store().read("a") == "1");
 }
 
-TEST_CASE("Cleaning that can't read goes on when it can, and meanwhile loses nothing") {
+TEST_CASE("Cleaning resumes after a read error and loses no record") {
     RingHarness harness(9);
     REQUIRE(harness.store().put("cold", std::string(1000, 'c')));
     REQUIRE(harness.syncAndWait());
@@ -280,7 +281,7 @@
     harness.disk().read_error = EIO;
     bool refused = false;
     for (int i = 0; i < 200 && !refused; ++i) refused = !writeHot();
-    CHECK(refused);  // no segment can be given back
+    CHECK(refused);  // no segment can be released
     CHECK(harness.store().healthy());
     harness.disk().read_error = 0;
     harness.store().erase("hot");
@@ -291,14 +292,14 @@
     CHECK(harness.store().read("cold") == std::string(1000, 'c'));
 }
 
-TEST_CASE("Damage before the end of what was durable is noticed on opening, a torn end is not taken for it") {
+TEST_CASE("Damage before the end of the durable records is detected on opening, unlike a torn tail") {
     RingHarness harness(10);
     for (int i = 0; i < 40; ++i) {
         REQUIRE(harness.store().put(keyOf(i), std::string(400, 'v')));
         REQUIRE(harness.syncAndWait());
     }
     harness.restart();
-    CHECK_FALSE(harness.store().lacksRecords());
+    CHECK_FALSE(harness.store().hasMissingRecords());
     harness.close();
     const std::string path = segmentPath(harness.directory(), 1);
     const std::string whole = readFile(path);
@@ -308,12 +309,12 @@
         damaged[at] = static_cast<char>(damaged[at] ^ 1);
         writeFile(path, damaged);
         harness.open();
-        CHECK(harness.store().lacksRecords());
+        CHECK(harness.store().hasMissingRecords());
         harness.close();
     }
     std::filesystem::remove(path);
     harness.open();
-    CHECK(harness.store().lacksRecords());
+    CHECK(harness.store().hasMissingRecords());
 }
 
 }  // namespace amberswitch::cluster
