--- a/lab/farm.hpp
+++ b/lab/farm.hpp
@@ -30,7 +30,7 @@
         int dispatcher = 0;
         bool started = false;
         Nanos takes{0};
-        std::shared_ptr<Deadlines::Ticket> due = std::make_shared<Deadlines::Ticket>();
+        std::shared_ptr<Deadlines::Timer> due = std::make_shared<Deadlines::Timer>();
     };
     struct Teller {  // callbacks from one server to one dispatcher, in order
         std::deque<std::pair<std::string, int>> calls;  // with the tries so far
--- a/lab/relay.hpp
+++ b/lab/relay.hpp
@@ -68,7 +68,7 @@
     std::shared_ptr<wire::Machine> inner_;
     std::function<Time()> clock_;
     Way from_, to_;
-    Deadlines::Ticket due_;
+    Deadlines::Timer due_;
     std::size_t passed_ = 0;
     std::optional<End> over_;
     bool up_, gone_ = false, pumping_ = false;
--- a/src/consul/keep.cpp
+++ b/src/consul/keep.cpp
@@ -47,7 +47,7 @@
     return out;
 }
 
-std::optional<Kept> opened(const store::Sealed& sealed, std::string& fault) {
+std::optional<Kept> opened(const store::StoredState& sealed, std::string& fault) {
     auto scopes = read(sealed.body);
     if (scopes) return Kept{sealed.site, sealed.at, std::move(*scopes)};
     fault = "it can't be read";
@@ -57,15 +57,15 @@
 }  // namespace
 
 std::string encode(const Kept& kept) {
-    return store::seal(kMark, {kept.site, kept.at, write(kept.scopes)});
+    return store::encodeState(kMark, {kept.site, kept.at, write(kept.scopes)});
 }
 
 std::optional<Kept> decode(std::string_view bytes, std::string& fault) {
-    const auto sealed = store::unseal(kMark, bytes, fault);
+    const auto sealed = store::decodeState(kMark, bytes, fault);
     return sealed ? opened(*sealed, fault) : std::nullopt;
 }
 
-Keeper::Keeper(KeepConfig config, std::uint64_t site, Say say)
+Keeper::Keeper(StateFileConfig config, std::uint64_t site, Say say)
     : file_(std::move(config), kMark, site, "view", std::move(say)) {}
 
 std::optional<Kept> Keeper::load(Time now) {
--- a/src/consul/keep.hpp
+++ b/src/consul/keep.hpp
@@ -21,21 +21,21 @@
 // None, and `fault` says why, if the bytes are not a whole file of this kind.
 std::optional<Kept> decode(std::string_view bytes, std::string& fault);
 
-using store::KeepConfig;
+using store::StateFileConfig;
 
 class Keeper {
 public:
-    using Say = store::Keeper::Say;
-    Keeper(KeepConfig config, std::uint64_t site, Say say);
+    using Say = store::StateFile::Log;
+    Keeper(StateFileConfig config, std::uint64_t site, Say say);
 
     bool on() const { return file_.on(); }
     // What was kept, unless it is torn, foreign, too old or from the future; then a line says which.
     std::optional<Kept> load(Time now);
     void save(Time now, const std::map<View::Scope, std::vector<Instance>>& scopes);
-    const store::Keeper::Counters& counters() const { return file_.counters(); }
+    const store::StateFile::Counters& counters() const { return file_.counters(); }
 
 private:
-    store::Keeper file_;
+    store::StateFile file_;
 };
 
 }  // namespace amberswitch::consul
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -6,21 +6,21 @@
 public:
     Connection(Control& owner, Time now) : http::Server(owner.deadlines_, now), owner_(owner) { lastOne(); }
 
-    Connections::iterator place;
-    Shown shown = nothing;
+    Connections::iterator position;
+    Progress progress = nothing;
 
 private:
     void stateChanged(Time, State to) override {
-        if (to == State::reading) show(part);
-        if (to == State::waiting) show(call);
+        if (to == State::reading) advance(part);
+        if (to == State::waiting) advance(call);
     }
 
-    void show(Shown what) {
-        if (what <= shown) return;
-        auto& from = owner_.connections_[shown];
-        shown = what;
-        auto& into = owner_.connections_[shown];
-        into.splice(into.end(), from, place);
+    void advance(Progress what) {
+        if (what <= progress) return;
+        auto& from = owner_.connections_[progress];
+        progress = what;
+        auto& into = owner_.connections_[progress];
+        into.splice(into.end(), from, position);
     }
 
     void request(Time now, http::Message message) override {
@@ -32,19 +32,19 @@
             refuse(now, 405, "Allow: " + std::string(method) + "\r\n");
             return false;
         };
-        const auto standing = [&](bool yes) {
-            reply(now, yes ? 200 : 409, std::string(service::nameOf(service.standing())) + "\n");
+        const auto replyState = [&](bool ok) {
+            reply(now, ok ? 200 : 409, std::string(service::nameOf(service.state())) + "\n");
         };
         if (path == "/control/ready") {
             if (allows("GET"))
                 reply(now, service.ready() ? 200 : 503,
-                      std::string(service::nameOf(service.standing())) + "\n");
+                      std::string(service::nameOf(service.state())) + "\n");
         } else if (path == "/control/counters") {
-            if (allows("GET")) reply(now, 200, owner_.figures_());
+            if (allows("GET")) reply(now, 200, owner_.formatCounters_());
         } else if (path == "/control/out-of-service") {
-            if (allows("POST")) standing(service.outOfService(now));
+            if (allows("POST")) replyState(service.outOfService(now));
         } else if (path == "/control/in-service") {
-            if (allows("POST")) standing(service.inService(now));
+            if (allows("POST")) replyState(service.inService(now));
         } else {
             refuse(now, 404, {});
         }
@@ -58,32 +58,36 @@
     void gone(Time, End how) override {
         ++owner_.counters_.ends[static_cast<std::size_t>(how)];
         --owner_.open_;
-        owner_.connections_[shown].erase(place);
+        owner_.connections_[progress].erase(position);
     }
 
     Control& owner_;
 };
 
-Control::Control(Deadlines& deadlines, service::Service& service, Figures figures, std::size_t places)
-    : deadlines_(deadlines), service_(service), figures_(std::move(figures)), places_(places) {}
+Control::Control(Deadlines& deadlines, service::Service& service, FormatCounters formatCounters,
+                 std::size_t maxConnections)
+    : deadlines_(deadlines),
+      service_(service),
+      formatCounters_(std::move(formatCounters)),
+      maxConnections_(maxConnections) {}
 Control::~Control() = default;
 
 std::shared_ptr<wire::Machine> Control::accept(Time now) {
     ++counters_.connections;
-    // Guards against callers that hold a connection and say nothing: a new one always finds a place.
-    while (open_ >= places_ && pushOut(now)) {
+    // Silent connections must not keep new ones out.
+    while (open_ >= maxConnections_ && closeLeastProgressed(now)) {
     }
     auto connection = std::make_shared<Connection>(*this, now);
     connections_[nothing].push_back(connection);
-    connection->place = std::prev(connections_[nothing].end());
+    connection->position = std::prev(connections_[nothing].end());
     ++open_;
     return connection;
 }
 
-bool Control::pushOut(Time now) {
+bool Control::closeLeastProgressed(Time now) {
     for (const Connections& callers : connections_)
         if (!callers.empty()) {
-            ++counters_.pushedOut;
+            ++counters_.evicted;
             const auto oldest = callers.front();
             oldest->close(now, End::silent);
             return true;
--- a/src/control/control.hpp
+++ b/src/control/control.hpp
@@ -1,5 +1,5 @@
-// The operators' address: calls to look at this process and to take it out of service and back. It decides
-// nothing: it asks the process's standing and its figures.
+// The operators' HTTP interface: calls to inspect this process and to take it out of service and back. It
+// delegates to service::Service and to the function that formats the counters.
 #pragma once
 
 #include <algorithm>
@@ -14,21 +14,25 @@
 
 class Control {
 public:
-    using Figures = std::function<std::string()>;
-    // At most `places` callers at a time (1 or more). The objects given must outlive it.
-    Control(Deadlines& deadlines, service::Service& service, Figures figures, std::size_t places);
+    using FormatCounters = std::function<std::string()>;
+    // Accepts at most `maxConnections` connections at a time (1 or more). The objects passed in must outlive
+    // it.
+    Control(Deadlines& deadlines, service::Service& service, FormatCounters formatCounters,
+            std::size_t maxConnections);
     ~Control();
 
-    // How many callers a process with so many descriptors in all has room for.
-    static std::size_t placesOf(std::size_t sockets) { return std::clamp<std::size_t>(sockets / 16, 8, 32); }
+    // Returns the connection limit for a process with `sockets` file descriptors in total.
+    static std::size_t connectionLimitFor(std::size_t sockets) {
+        return std::clamp<std::size_t>(sockets / 16, 8, 32);
+    }
 
     std::shared_ptr<wire::Machine> accept(Time now);
     std::size_t open() const { return open_; }
-    std::size_t places() const { return places_; }
-    bool quiet() const;  // nobody waits for an answer, or for the rest of one
+    std::size_t maxConnections() const { return maxConnections_; }
+    bool quiet() const;  // no answer is pending or partly unsent
 
     struct Counters {
-        std::uint64_t connections = 0, calls = 0, refused = 0, pushedOut = 0;
+        std::uint64_t connections = 0, calls = 0, refused = 0, evicted = 0;
         std::uint64_t ends[kEnds] = {};
     };
     const Counters& counters() const { return counters_; }
@@ -36,16 +40,16 @@
 private:
     class Connection;
     using Connections = std::list<std::shared_ptr<Connection>>;
-    // What a caller has shown so far; who has shown least goes first when places run out.
-    enum Shown { nothing, part, call };
+    // What a connection has sent so far. At the limit, the connections that have sent least are closed first.
+    enum Progress { nothing, part, call };
 
-    bool pushOut(Time now);
+    bool closeLeastProgressed(Time now);
 
     Deadlines& deadlines_;
     service::Service& service_;
-    Figures figures_;
-    const std::size_t places_;
-    std::array<Connections, 3> connections_;  // by what they have shown, the oldest first
+    FormatCounters formatCounters_;
+    const std::size_t maxConnections_;
+    std::array<Connections, 3> connections_;  // indexed by Progress, oldest first
     std::size_t open_ = 0;
     Counters counters_;
 };
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -1,5 +1,6 @@
-// The life of transactions between a front and the application servers. It feeds the module, carries out
-// what the module asks for, and checks what the rules forbid. It knows no wire and no clock.
+// Manages the lifetime of transactions between the protocol fronts and the application servers. The core
+// passes events to the dispatcher (heronmount), executes the actions that it returns, and checks each of them
+// against the rules of the site. It does no I/O and reads no clock: callers pass in the time.
 #pragma once
 
 #include <deque>
@@ -16,58 +17,64 @@
 
 class Core {
 public:
-    // With a placement policy the module gets the classes once for each set of places that it names.
+    // `deadlines` must outlive the core. With a placement policy, the dispatcher is given a copy of the
+    // classes for each set of places that the policy names.
     Core(const settings::Site& site, std::uint64_t seed, Deadlines& deadlines,
          const placement::Policy& policy = {}, Time start = Time(0));
 
-    // A source that is to watch its list when the module wants that.
-    void addFarmSource(FarmSource& source) { sources_.push_back(&source); }
+    // Registers a source whose watch() is called when the dispatcher asks for a roster. Not owned.
+    void addRosterSource(RosterSource& source) { sources_.push_back(&source); }
 
-    // From a front. The final answer may come before this returns.
+    // --- Called by the fronts ---
+    // Starts a transaction. The final answer may be given before this returns.
     TransactionId arrive(Time now, Arrival arrival);
     void clientLeft(Time now, TransactionId id);
-    void giveUpAll(Time now);  // this process ends: answers all that is open
-    // A front has answered a job itself that never became a transaction: unavailable, or failed.
-    void turnedAway(std::uint32_t klass, bool unavailable);
+    void giveUpAll(Time now);  // at process shutdown: answers every open transaction
+    // Counts a job that a front answered by itself, as unavailable or as failed, without starting a
+    // transaction.
+    void countRejectedByFront(std::uint32_t klass, bool unavailable);
 
-    // From the application servers' side. A pass that has ended or never was is ignored.
-    // Its last byte was written. Told once a pass, also after its end.
+    // --- Called by the server pools ---
+    // Calls for a pass that has ended or does not exist are ignored.
+    // The last byte of a pass was written. Called once per pass, possibly after the pass has ended.
     void passWritten() { ++counters_.forwards; }
     void passStarted(Time now, TransactionId id, std::uint32_t pass);
-    // Asked before the first byte of a pass that had to wait (for a connection, for a worker): whether it
-    // would still be begun. If not it is to end as unsent.
+    // Returns whether a pass that had to wait (for a connection or a worker) may still be sent. The pool
+    // calls this before it writes the first byte; if the result is false, it ends the pass with End::unsent.
     bool mayBegin(Time now, TransactionId id, std::uint32_t pass);
     void passProgress(Time now, TransactionId id, std::uint32_t pass, double share);
     void passPartial(Time now, TransactionId id, std::uint32_t pass, Partial kind, std::string_view bytes);
     void passEnded(Time now, TransactionId id, std::uint32_t pass, End how, std::string result = {},
                    const LoadReport& load = {});
-    // The client has the first part of this pass's answer: no other pass may begin, those that are out are
-    // called off, and its end is the transaction's end.
+    // The client has received the first part of this pass's answer: no other pass may start, the other open
+    // passes are cancelled, and the end of this pass ends the transaction.
     void commit(Time now, TransactionId id, std::uint32_t pass);
-    // What was sent is no longer held: no further pass may begin. Where the last one ends, so does the
-    // transaction.
+    // The request body is no longer buffered, so no further pass may start. The transaction ends with its
+    // last open pass.
     void seal(TransactionId id);
     void probeAnswered(Time now, Worker server, bool ok, const LoadReport& load);
 
-    // From a farm source. `servers` speak for the entries of this update. A whole list replaces what the
-    // same source had told before, and nothing else.
-    void farm(Time now, const FarmSource& source, ApplicationServers& servers, heronmount::RosterMode mode,
-              const std::vector<FarmEntry>& entries);
-    // A source can't be reached. Where `ask`, the module is to say when to ask again; else the source tries
-    // by itself.
-    void farmLost(Time now, bool ask = true);
+    // --- Called by the roster sources ---
+    // Applies a roster update. `servers` is the pool that connects to the listed servers. A full list
+    // replaces the servers previously listed by the same source; those of other sources stay.
+    void updateRoster(Time now, const RosterSource& source, ApplicationServers& servers,
+                      heronmount::RosterMode mode, const std::vector<RosterServer>& entries);
+    // A source is unreachable. If `ask` is true, the dispatcher decides when to ask again; otherwise the
+    // source retries by itself.
+    void rosterLost(Time now, bool ask = true);
 
-    Worker handleOf(std::string_view name);  // dense, counted up as names are first heard
-    bool accepts(Worker server) const { return server < farm_.size() && farm_[server].on; }
-    bool openPass(TransactionId id, std::uint32_t pass) const;
-    std::size_t open() const { return open_; }  // transactions still owed an answer
-    std::size_t avoided() const { return dispatcher_.avoidedWorkerCount(); }  // of the listed: see the module
-    std::size_t listed() const;  // application servers in the list, those that drain too
+    Worker handleOf(std::string_view name);  // dense, assigned in the order in which names are first seen
+    bool accepts(Worker server) const { return server < servers_.size() && servers_[server].on; }
+    bool isPassOpen(TransactionId id, std::uint32_t pass) const;
+    std::size_t openTransactions() const { return openTransactions_; }  // without a final answer
+    std::size_t avoidedWorkerCount() const { return dispatcher_.avoidedWorkerCount(); }  // see Dispatcher
+    std::size_t listedServers() const;  // application servers in the roster, including draining ones
     const Counters& counters() const { return counters_; }
     const placement::Placement& placement() const { return placement_; }
     placement::Placement& placement() { return placement_; }
-    // Told where servers stand, as soon as that has changed and before any job is sent by it.
-    void setStandingsChanged(std::function<void(Time)> tell) { standingsChanged_ = std::move(tell); }
+    // Sets the function that is called when the placement of servers has changed, before any job is sent
+    // according to the change.
+    void setPlacementsChanged(std::function<void(Time)> notify) { placementsChanged_ = std::move(notify); }
     Trace& trace() { return trace_; }
     const Trace& trace() const { return trace_; }
     const settings::Site& site() const { return site_; }
@@ -77,7 +84,7 @@
         Worker server = 0;
         Time sent{0};
         bool open = false;
-        ApplicationServers* side = nullptr;
+        ApplicationServers* pool = nullptr;
         Time until{0};
     };
     struct Transaction {
@@ -89,49 +96,50 @@
         Time deadline{0};
         std::vector<PassState> passes;
         bool answered = false, mayHaveRun = false, sealed = false;
-        std::optional<std::uint32_t> committed;  // the pass whose answer the client is getting
+        std::optional<std::uint32_t> committed;  // the pass whose answer is being forwarded
         int zone = 0, cell = 0;
-        Time anchoredAt{0};
-        std::uint32_t out = 0;
+        Time dedupStart{0};
+        std::uint32_t openPasses = 0;
         std::string lastFailure;
-        // Where it may go. After it was widened the module counts its passes from `since` on.
+        // The places where the job may run. Once the ticket is widened, the dispatcher handles the job as a
+        // new request (`widenedRequest`) whose attempts are numbered from `firstPass` on.
         placement::Placement::Ticket ticket;
-        heronmount::RequestArrived request;  // kept where it may be widened
-        std::uint32_t since = 0;
-        bool second = false;
-        bool wentOut = false;
+        heronmount::RequestArrived request;  // kept only with a placement policy, for widening
+        std::uint32_t firstPass = 0;
+        bool widenedRequest = false;
+        bool sentOutside = false;
     };
     struct Server {
         std::string name;
-        ApplicationServers* side = nullptr;
-        const FarmSource* source = nullptr;
+        ApplicationServers* pool = nullptr;
+        const RosterSource* source = nullptr;
         bool listed = false, on = false;
         heronmount::RosterEntry entry;
     };
 
-    Ended& endedOf(std::uint32_t klass) { return counters_.byClass[klass % counters_.byClass.size()]; }
-    void tell(Time now, heronmount::Event event);
-    void carryOut(Time now, const heronmount::Action& action);
+    ClassTotals& totalsOf(std::uint32_t klass) { return counters_.byClass[klass % counters_.byClass.size()]; }
+    void dispatch(Time now, heronmount::Event event);
+    void execute(Time now, const heronmount::Action& action);
     void send(Time now, const heronmount::Send& send);
     void endPass(Time now, Transaction& t, std::uint32_t number, End how, std::string result,
                  const LoadReport& load);
-    bool legal(Time now, const Transaction& t, const Server& to) const;
-    bool permitted(Time now, const Transaction& t, const Server& to, std::uint32_t others) const;
-    bool wanted(Transaction& t);
-    std::shared_ptr<ClientEnd> settled(Transaction& t);
+    bool mayStartPass(Time now, const Transaction& t, const Server& to) const;
+    bool isPermitted(Time now, const Transaction& t, const Server& to, std::uint32_t others) const;
+    bool checkClientWaiting(Transaction& t);
+    std::shared_ptr<ClientEnd> markSettled(Transaction& t);
     ProxyPass passOf(const Transaction& t, std::uint32_t number) const;
-    bool widened(Time now, Transaction& t);
-    bool anyFor(const Transaction& t) const { return taken_ >> t.klass & 1; }
-    void due(Time now, TransactionId id);
-    void forget(TransactionId id);
-    static constexpr heronmount::RequestId kSecond = heronmount::RequestId{1} << 51;
-    heronmount::RequestId idOf(const Transaction& t) const;
-    Transaction* asked(heronmount::RequestId id);
+    bool tryWiden(Time now, Transaction& t);
+    bool hasServerFor(const Transaction& t) const { return servedClassMask_ >> t.klass & 1; }
+    void deadlineReached(Time now, TransactionId id);
+    void eraseIfFinished(TransactionId id);
+    static constexpr heronmount::RequestId kWidenedRequestBit = heronmount::RequestId{1} << 51;
+    heronmount::RequestId requestIdOf(const Transaction& t) const;
+    Transaction* findByRequestId(heronmount::RequestId id);
     Transaction* find(TransactionId id);
     void fail(Time now, Transaction& t);
     void refuse(Time now, Transaction& t, Nanos retryIn);
-    void settle(Time now, Transaction& t, std::uint32_t number, End how);
-    Nanos advice() const;
+    void settleAfterPass(Time now, Transaction& t, std::uint32_t number, End how);
+    Nanos retryAdvice() const;
     template <class Answer>
     void answer(Transaction& t, Answer&& say);
 
@@ -139,17 +147,17 @@
     placement::Placement placement_;
     heronmount::Dispatcher dispatcher_;
     Deadlines& deadlines_;
-    std::vector<FarmSource*> sources_;
+    std::vector<RosterSource*> sources_;
     std::unordered_map<std::string, Worker> handles_;
-    std::vector<Server> farm_;
+    std::vector<Server> servers_;
     std::unordered_map<TransactionId, Transaction> transactions_;
-    std::deque<heronmount::Event> inbox_;
+    std::deque<heronmount::Event> events_;
     std::vector<heronmount::Action> actions_;
-    bool turning_ = false;
-    TransactionId last_ = 0;
-    std::size_t open_ = 0;
-    std::uint64_t taken_ = 0;  // with a placement: the classes that some listed server takes
-    std::function<void(Time)> standingsChanged_;
+    bool dispatching_ = false;
+    TransactionId lastId_ = 0;
+    std::size_t openTransactions_ = 0;
+    std::uint64_t servedClassMask_ = 0;  // with a placement policy: classes that some server accepts
+    std::function<void(Time)> placementsChanged_;
     Counters counters_;
     Trace trace_;
 };
--- a/src/core/deadlines.hpp
+++ b/src/core/deadlines.hpp
@@ -1,4 +1,5 @@
-// The one sorted structure that holds every deadline of the process. It is swept once a turn.
+// The timer queue of the process: all deadlines in one sorted map. The event loop calls sweep() once per
+// turn.
 #pragma once
 
 #include <functional>
@@ -21,13 +22,14 @@
     using Sorted = std::multimap<Time, Action>;
 
 public:
-    // Holds one deadline. Letting go of it, or arming it anew, takes the old one out.
-    class Ticket {
+    // Owns at most one pending deadline. Destroying or rearming the timer cancels it. The queue must outlive
+    // it.
+    class Timer {
     public:
-        Ticket() = default;
-        Ticket(const Ticket&) = delete;
-        Ticket& operator=(const Ticket&) = delete;
-        ~Ticket() { disarm(); }
+        Timer() = default;
+        Timer(const Timer&) = delete;
+        Timer& operator=(const Timer&) = delete;
+        ~Timer() { disarm(); }
         bool armed() const { return owner_ != nullptr; }
         void disarm() {
             if (owner_) std::exchange(owner_, nullptr)->sorted_.erase(at_);
@@ -35,7 +37,7 @@
         void arm(Deadlines& owner, Time at, Action action) {
             disarm();
             at_ = owner.sorted_.emplace(at, [this, action = std::move(action)](Time now) {
-                owner_ = nullptr;  // it is out of the structure by now
+                owner_ = nullptr;  // sweep() has already removed it
                 action(now);
             });
             owner_ = &owner;
@@ -46,19 +48,19 @@
         Sorted::iterator at_;
     };
 
-    // A deadline nobody takes back.
+    // Adds a deadline that can't be cancelled.
     void once(Time at, Action action) { sorted_.emplace(at, std::move(action)); }
 
-    std::optional<Time> head() const {
+    std::optional<Time> earliest() const {
         if (sorted_.empty()) return std::nullopt;
         return sorted_.begin()->first;
     }
 
-    // Carries out what is due. What is armed meanwhile waits for the next turn unless it was due already
-    // when this sweep began, so a sweep always ends.
+    // Runs the actions that are due, at most as many as were pending when the sweep began, so a sweep always
+    // ends even if actions add deadlines that are already due.
     void sweep(Time now) {
-        std::size_t most = sorted_.size();
-        while (most-- > 0 && !sorted_.empty() && sorted_.begin()->first <= now) {
+        std::size_t remaining = sorted_.size();
+        while (remaining-- > 0 && !sorted_.empty() && sorted_.begin()->first <= now) {
             const Action action = std::move(sorted_.begin()->second);
             sorted_.erase(sorted_.begin());
             action(now);
--- a/src/core/end.hpp
+++ b/src/core/end.hpp
@@ -1,4 +1,4 @@
-// Every way in which a connection, or the proxy pass it carries, can end.
+// The ways in which a connection, or the proxy pass that it carries, can end.
 #pragma once
 
 #include <cstddef>
@@ -8,27 +8,27 @@
 namespace amberswitch {
 
 enum class End {
-    served,           // the application server gave a result
-    failed,           // it said that the job failed, or answered something that is neither yes nor no
-    handedBack,       // it turned the job away or gave it back unstarted
-    connectRefused,   // no connection could be made
-    connectTimedOut,  // none came up in time
+    served,           // the application server returned a result
+    failed,           // it reported a failed job, or its answer is neither success nor rejection
+    handedBack,       // it rejected the job or returned it unstarted
+    connectRefused,   // the connection attempt failed
+    connectTimedOut,  // the connection attempt timed out
     brokeUnsent,      // the connection broke before the last byte was written
-    brokeSent,        // it broke after that and before the job was taken
-    staleUnsent,      // a connection kept from earlier broke before the last byte was written
-    staleSent,        // it broke after that and before the job was taken
-    wentAway,         // the server ends this connection and says that it did nothing with the job
-    lost,             // the job was taken, then killed, or its server went away
-    timedOut,         // nothing came until the pass was due
-    withdrawn,        // this side called the pass off
-    unsent,           // the pass was never begun: it would have broken a rule
-    peerClosed,       // the other side closed a connection that carried nothing
-    peerReset,        // the other side broke it
-    idle,             // unused for too long
-    silent,           // a half message and then nothing
-    malformed,        // what came is not the protocol
-    oversized,        // a head or a body over the bound
-    shutDown,         // this process ends
+    brokeSent,        // it broke after that and before the job was accepted
+    staleUnsent,      // a reused connection broke before the last byte was written
+    staleSent,        // it broke after that and before the job was accepted
+    wentAway,         // the server closed the connection and stated that it did not process the job
+    lost,             // the job was accepted, then killed, or its server disappeared
+    timedOut,         // no result arrived before the deadline of the pass
+    withdrawn,        // this side cancelled the pass
+    unsent,           // the pass was never started: a rule forbids it
+    peerClosed,       // the peer closed a connection that carried no pass
+    peerReset,        // the peer reset it
+    idle,             // closed after the idle timeout
+    silent,           // the peer stopped in the middle of a message
+    malformed,        // the peer violated the protocol
+    oversized,        // a header or body exceeds the size limit
+    shutDown,         // this process is shutting down
 };
 constexpr std::size_t kEnds = static_cast<std::size_t>(End::shutDown) + 1;
 
@@ -42,8 +42,8 @@
     return kNames[static_cast<std::size_t>(end)];
 }
 
-// The one place where an end becomes what the module is told. A connection that carried no pass is never
-// told; its ends stand here so that a pass which meets one counts as one that may have run.
+// Maps an end to the outcome that is reported to the dispatcher. Ends of connections without a pass are never
+// reported; they map to `reset` so that a pass which meets one counts as one that may have run.
 inline heronmount::Outcome outcomeOf(End end) {
     using heronmount::Outcome;
     switch (end) {
--- a/src/core/hand_over.hpp
+++ b/src/core/hand_over.hpp
@@ -1,6 +1,6 @@
-// The planned end, from SIGTERM on. Clients go on using the connections they have for as long as those stay
-// open, and another dispatcher need not be up yet: so they are served here nearly until the process may be
-// killed, which is no sooner than 0.7 s after the longest deadline (taken as 3 s where it is longer).
+// The schedule of a graceful shutdown, from SIGTERM on. Clients keep using their open connections, and
+// another dispatcher may not be up yet, so jobs are accepted until shortly before the process may be killed.
+// The kill comes no sooner than 0.7 s after the longest client deadline (taken as 3 s where it is longer).
 #pragma once
 
 #include <algorithm>
@@ -9,21 +9,20 @@
 
 namespace amberswitch {
 
-// A drain of the dispatcher, which can be taken back, goes faster: 4 s after the call no client's connection
-// may rest here, or hold a job that is younger than 2 s. A quarter of a second before that, each must be
-// free.
-struct Drain {
-    static constexpr heronmount::Nanos closeRested = std::chrono::milliseconds(1700);
-    static constexpr heronmount::Nanos turnAway = std::chrono::milliseconds(1900);
-    static constexpr heronmount::Nanos lookAgain = std::chrono::milliseconds(100);
+// The schedule of a drain, which can be reverted and is shorter: 4 s after the call, no client connection may
+// be idle here or carry a job that is younger than 2 s. Each must be free a quarter of a second before that.
+struct DrainSchedule {
+    static constexpr heronmount::Nanos closeIdle = std::chrono::milliseconds(1700);
+    static constexpr heronmount::Nanos rejectJobs = std::chrono::milliseconds(1900);
+    static constexpr heronmount::Nanos recheckInterval = std::chrono::milliseconds(100);
 };
 
-struct HandOver {
-    heronmount::Nanos turnAway;  // from then on no job is taken, and connections are closed between messages
-    heronmount::Nanos giveUp;    // what is still open then is answered as given up
-    heronmount::Nanos exit;      // no connection is waited for any longer: the kill is near
+struct ShutdownSchedule {
+    heronmount::Nanos rejectJobs;  // from then on jobs are rejected and connections closed between messages
+    heronmount::Nanos giveUp;      // open transactions are answered as refused or failed
+    heronmount::Nanos exit;        // the process exits without waiting for connections: the kill is imminent
 
-    static HandOver of(const settings::Site& site) {
+    static ShutdownSchedule of(const settings::Site& site) {
         using namespace std::chrono_literals;
         heronmount::Nanos longest{0};
         for (const auto& klass : site.module.classes) longest = std::max(longest, klass.clientTimeout);
--- a/src/core/trace.hpp
+++ b/src/core/trace.hpp
@@ -1,5 +1,6 @@
-// One line for each thing that happened, for those who count across a fleet: off unless a sink is set, and
-// bounded by lines a second. The lines begin with the time in milliseconds; what is not known is '-'.
+// Writes one line per event, for tools that aggregate over a fleet. Disabled unless a sink is set, and
+// limited to a number of lines per second. Each line starts with the time in milliseconds; unknown values are
+// '-'.
 #pragma once
 
 #include <cstdarg>
@@ -16,17 +17,19 @@
 public:
     using Sink = std::function<void(const std::string&)>;
 
-    void open(Sink sink, std::uint32_t linesPerSecond) { sink_ = std::move(sink), most_ = linesPerSecond; }
+    void open(Sink sink, std::uint32_t linesPerSecond) {
+        sink_ = std::move(sink), maxLinesPerSecond_ = linesPerSecond;
+    }
     bool on() const { return static_cast<bool>(sink_); }
     std::uint64_t dropped() const { return dropped_; }
 
-    // As printf; `format` starts with the word that names the event.
+    // Formats like printf; `format` starts with the name of the event.
     [[gnu::format(printf, 3, 4)]] void operator()(heronmount::Time now, const char* format, ...) {
         if (!sink_) return;
         const std::int64_t second = now / std::chrono::seconds(1);
         if (second != second_) second_ = second, lines_ = 0;
-        // Guards against a log that grows with the load until writing it is the load.
-        if (++lines_ > most_) {
+        // Limits the log, which would otherwise grow with the load until writing it dominates.
+        if (++lines_ > maxLinesPerSecond_) {
             ++dropped_;
             return;
         }
@@ -43,7 +46,7 @@
 private:
     Sink sink_;
     std::int64_t second_ = -1;
-    std::uint32_t lines_ = 0, most_ = 0;
+    std::uint32_t lines_ = 0, maxLinesPerSecond_ = 0;
     std::uint64_t dropped_ = 0;
 };
 
--- a/src/gearman/connection.hpp
+++ b/src/gearman/connection.hpp
@@ -86,7 +86,7 @@
     Front& front_;
     State state_ = State::open;
     Decoder decoder_{true};
-    Deadlines::Ticket incompletePacketTimer_, throttleTimer_;
+    Deadlines::Timer incompletePacketTimer_, throttleTimer_;
     double refusalTokens_ = kRefusalBurst;
     Time lastRefusal_{0};
     std::vector<std::shared_ptr<Job>> foregroundJobs_;  // those this client waits for
--- a/src/gearman/front.hpp
+++ b/src/gearman/front.hpp
@@ -15,7 +15,7 @@
 
 namespace amberswitch::gearman {
 
-class Front : public ApplicationServers, public FarmSource {
+class Front : public ApplicationServers, public RosterSource {
 public:
     Front(Core& core, Deadlines& deadlines, Config config);
     ~Front() override;
--- a/src/gearman/worker_requests.cpp
+++ b/src/gearman/worker_requests.cpp
@@ -25,15 +25,15 @@
         // ago for all that is known here, so it counts as warm.
         startedAt_ = Time(static_cast<std::int64_t>(++front_.registrations_));
     }
-    FarmEntry update;
+    RosterServer update;
     update.name = applicationServerName();
-    update.entry.zone = front_.core_.site().module.zone, update.placed = false;
+    update.entry.zone = front_.core_.site().module.zone, update.zoneKnown = false;
     update.entry.cell = 1'000'000 + static_cast<int>(*slot_);  // no other worker is known to drop its repeats
     update.entry.weight = static_cast<double>(front_.config_.workerSlots);
     update.entry.startedAt = startedAt_;
     update.entry.status = functions_.empty() ? WorkerStatus::draining : WorkerStatus::on;
     for (const std::size_t klass : functions_) update.entry.classMask |= std::uint64_t{1} << klass;
-    front_.core_.farm(now, front_, front_, RosterMode::incremental, {update});
+    front_.core_.updateRoster(now, front_, front_, RosterMode::incremental, {update});
     returnPasses(now, false);
 }
 
@@ -44,15 +44,15 @@
     const auto self = shared_from_this();
     if (disconnected) {
         const std::size_t slot = *slot_;
-        FarmEntry update;
+        RosterServer update;
         update.name = applicationServerName();
         update.entry.status = WorkerStatus::off;
-        update.entry.zone = front_.core_.site().module.zone, update.placed = false;
+        update.entry.zone = front_.core_.site().module.zone, update.zoneKnown = false;
         update.entry.startedAt = startedAt_;
         functions_.clear();
         front_.workers_.erase(applicationServer_);
         slot_.reset();
-        front_.core_.farm(now, front_, front_, RosterMode::incremental, {update});
+        front_.core_.updateRoster(now, front_, front_, RosterMode::incremental, {update});
         front_.freeSlots_.insert(slot);
     }
     std::vector<QueuedPass> returned;
--- a/src/grpc/front.hpp
+++ b/src/grpc/front.hpp
@@ -47,7 +47,7 @@
     std::size_t mostConnections_, mostStreams_, mostCalls_, hold_;
     std::list<std::shared_ptr<Connection>> connections_;
     bool draining_ = false, left_ = false;  // the first step of the planned end is done, and the second
-    Deadlines::Ticket second_;
+    Deadlines::Timer second_;
     std::uint64_t lastCall_ = 0;
     Counters counters_;
 };
--- a/src/grpc/servers.cpp
+++ b/src/grpc/servers.cpp
@@ -63,7 +63,7 @@
 
     Servers& owner_;
     const Worker server_;
-    Deadlines::Ticket connect_;
+    Deadlines::Timer connect_;
     bool settled_ = false;
     End how_ = End::connectRefused;  // of a stream that nothing was written of
 };
@@ -228,10 +228,10 @@
     : core_(core), deadlines_(deadlines), connector_(connector), config_(config), random_(seed) {}
 Servers::~Servers() = default;
 
-FarmEntry Servers::told(const Server& server) const {
+RosterServer Servers::told(const Server& server) const {
     const settings::Site& site = core_.site();
-    FarmEntry out;
-    out.name = server.entry.name, out.placed = server.entry.placed;
+    RosterServer out;
+    out.name = server.entry.name, out.zoneKnown = server.entry.placed;
     auto& entry = out.entry;
     entry.zone = server.entry.zone, entry.kind = server.entry.kind, entry.cell = server.entry.cell;
     entry.weight = server.entry.weight;
@@ -243,7 +243,7 @@
 
 void Servers::configure(Time now, const Config& config) {
     config_ = config;
-    std::vector<FarmEntry> entries;
+    std::vector<RosterServer> entries;
     std::vector<Worker> here;
     for (const ServerEntry& entry : config.servers) {
         const Worker handle = core_.handleOf(entry.name);
@@ -263,7 +263,7 @@
             const auto old = server.connections;
             for (const auto& connection : old) connection->leave(now);
         }
-    core_.farm(now, *this, *this, RosterMode::full, entries);
+    core_.updateRoster(now, *this, *this, RosterMode::full, entries);
     if (core_.site().module.progressInterval.count() > 0 && !tick_.armed())
         tick_.arm(deadlines_, now + core_.site().module.progressInterval, [this](Time at) { tick(at); });
 }
@@ -390,7 +390,7 @@
     // It was away and is back: it has started anew, for all that can be known here, and is cold.
     ++counters_.restarts;
     server->since = now;
-    core_.farm(now, *this, *this, RosterMode::incremental, {told(*server)});
+    core_.updateRoster(now, *this, *this, RosterMode::incremental, {told(*server)});
 }
 
 // As the published page on connection backoff says: 1.6 times longer with each failure, a fifth more or less.
--- a/src/grpc/servers.hpp
+++ b/src/grpc/servers.hpp
@@ -11,7 +11,7 @@
 
 namespace amberswitch::grpc {
 
-class Servers : public ApplicationServers, public FarmSource {
+class Servers : public ApplicationServers, public RosterSource {
 public:
     Servers(Core& core, Deadlines& deadlines, wire::Connector& connector, const Config& config,
             std::uint64_t seed);
@@ -49,7 +49,7 @@
         Time since{0};
     };
 
-    FarmEntry told(const Server& server) const;
+    RosterServer told(const Server& server) const;
     Server* serverOf(Worker handle);
     std::shared_ptr<Connection> connectionFor(Time now, Worker handle, Server& server, End& otherwise);
     void connected(Time now, Worker handle);
@@ -64,7 +64,7 @@
     boost::random::mt19937_64 random_;
     std::map<Worker, Server> servers_;
     std::map<PassKey, std::shared_ptr<Pass>> passes_;
-    Deadlines::Ticket tick_;
+    Deadlines::Timer tick_;
     Counters counters_;
 };
 
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -53,7 +53,7 @@
     void over(Time now, End how);
 
     Deadlines& deadlines_;
-    Deadlines::Ticket watchdog_;
+    Deadlines::Timer watchdog_;
     Parser parser_{Parser::Kind::request};
     State state_ = State::idle;
     Time born_;
--- a/src/http2/session.hpp
+++ b/src/http2/session.hpp
@@ -179,7 +179,7 @@
     StreamId peersLast_ = 0;
     std::size_t complete_ = 0;  // streams whose own side is complete
     Time watchAt_{0};
-    Deadlines::Ticket watchdog_;
+    Deadlines::Timer watchdog_;
 };
 
 }  // namespace amberswitch::http2
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// One real dispatcher: reads what it is told, wires the parts together and runs the loop.
+// The dispatcher process: reads the settings, connects the parts and runs the event loop.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -21,8 +21,8 @@
 
 namespace {
 
-struct Wiring : wire::Connector {
-    explicit Wiring(net::Loop& l) : loop(l) {}
+struct LinkConnector : wire::Connector {
+    explicit LinkConnector(net::Loop& l) : loop(l) {}
     net::Loop& loop;
     std::function<bool(Time)> makeRoom;
 
@@ -37,34 +37,35 @@
     }
 };
 
-// Looks for the process that this one is to replace.
-void meet(net::Loop& loop, takeover::Takeover& takeover, const std::string& at) {
-    constexpr std::size_t kMostPath = 90;  // with the suffix of a fresh one it has to fit a socket's name
-    if (at.empty() || at.size() > kMostPath) {
+// Connects to the process that this one replaces, if there is one.
+void connectToPredecessor(net::Loop& loop, takeover::Takeover& takeover, const std::string& at) {
+    constexpr std::size_t kMaxPathLength = 90;  // plus a suffix it must fit a socket address
+    if (at.empty() || at.size() > kMaxPathLength) {
         if (!at.empty()) std::fprintf(stderr, "amberswitch: $TMPDIR is too long for a socket's path\n");
         return takeover.alone(loop.now());
     }
     net::Link::connect(loop, takeover.begin(loop.now()), net::asio::local::stream_protocol::endpoint(at));
 }
 
-// Guards against a signal that comes before there is anybody to hear it: it waits, and ends nothing.
-class HeldSignals {
+// Blocks signals until their handlers are installed, so that an early signal is delivered later and doesn't
+// kill the process.
+class BlockedSignals {
 public:
-    HeldSignals() {
+    BlockedSignals() {
         sigemptyset(&set_);
         for (const int one : {SIGTERM, SIGINT, SIGHUP, SIGUSR1}) sigaddset(&set_, one);
         sigprocmask(SIG_BLOCK, &set_, nullptr);
     }
-    ~HeldSignals() { release(); }
-    HeldSignals(const HeldSignals&) = delete;
-    HeldSignals& operator=(const HeldSignals&) = delete;
+    ~BlockedSignals() { release(); }
+    BlockedSignals(const BlockedSignals&) = delete;
+    BlockedSignals& operator=(const BlockedSignals&) = delete;
     void release() { sigprocmask(SIG_UNBLOCK, &set_, nullptr); }
 
 private:
     sigset_t set_;
 };
 
-int run(config::Reader& reader, HeldSignals& signals) {
+int run(config::Reader& reader, BlockedSignals& signals) {
     config::Platform config = reader.read();
     const config::Operator own = config::readOperator(config.site);
     const bool speaksGrpc = !own.grpc.listen.empty();
@@ -72,37 +73,37 @@
     if (config.acceptFd && (speaksGrpc || !own.gearman.listen.empty()))
         throw BadField("ROUTER_ACCEPT_FD: the listeners of gearman and grpc can't be inherited");
     net::Loop loop;
-    Wiring wiring(loop);
-    // Guards against a list service that can't be called for want of a descriptor: clients and passes may
-    // have taken all others. It is one connection, of the process's own share.
-    Wiring unbounded(loop);
+    LinkConnector connector(loop);
+    // The list service must be reachable even if clients and passes use all other descriptors. This is one
+    // connection out of the reserve of the process.
+    LinkConnector unbounded(loop);
     Core core(config.site, config.seed, loop.deadlines(), own.placement, loop.now());
     if (own.log.trace)
         core.trace().open([](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); },
                           own.log.linesPerSecond);
     core.trace()(loop.now(), "begin me=%u fleet=%u zone=%d known=%d", config.site.module.schedulerIndex,
                  config.site.module.schedulerCount, config.site.module.zone, config.known ? 1 : 0);
-    platform::Servers servers(core, loop.deadlines(), wiring);
+    platform::Servers servers(core, loop.deadlines(), connector);
     platform::Watch watch(core, servers, loop.deadlines(), unbounded, config.discovery, own.start,
                           config.seed);
     service::Service service;
     start::Gate gate(loop.deadlines(), own.start.waitForList, [&service](Time now) { service.begin(now); });
     watch.setFirst([&gate](Time now) { gate.listed(now); });
     platform::Front front(core, servers, loop.deadlines(), service);
-    core.addFarmSource(watch);
+    core.addRosterSource(watch);
     front.setRoom(config.memoryMb * 1024 * 1024 / 4);
 
-    // Descriptors: some are the process's own, some are kept for passes so that a crowd of clients can't
-    // stop the jobs that were taken. Who has shown least goes first.
-    constexpr std::size_t kOwn = 24;
+    // Some descriptors are reserved for the process, and some for passes, so that many clients can't block
+    // accepted jobs. Connections that have sent least are closed first.
+    constexpr std::size_t kReservedDescriptors = 24;
     const bool controlled = !config.control.empty();
     control::Control control(
         loop.deadlines(), service, [&] { return routerCounters(core) + report(gate, loop.now()); },
-        control::Control::placesOf(config.sockets));
-    // Operators' callers have places of their own, one more for the one that comes, and the listener.
-    const std::size_t kept = controlled ? control.places() + 2 : 0;
-    const std::size_t most = config.sockets - kOwn - kept, forClients = most - most / 8;
-    takeover::Takeover* other = nullptr;  // where another process of this dispatcher may be at work
+        control::Control::connectionLimitFor(config.sockets));
+    // Reserved for operators: their connections, one more being accepted, and the listener.
+    const std::size_t kept = controlled ? control.maxConnections() + 2 : 0;
+    const std::size_t most = config.sockets - kReservedDescriptors - kept, forClients = most - most / 8;
+    takeover::Takeover* other = nullptr;  // set if other processes of this dispatcher may exist
     const auto roomBelow = [&](Time now, std::size_t limit) {
         using platform::Front;
         const std::size_t elsewhere = other ? other->descriptors() : 0;
@@ -113,21 +114,21 @@
             }
         return true;
     };
-    wiring.makeRoom = [&](Time now) { return roomBelow(now, most); };
+    connector.makeRoom = [&](Time now) { return roomBelow(now, most); };
 
-    if (config.acceptFd) watch.keep();  // from its first list on
+    if (config.acceptFd) watch.keep();  // before the first list arrives
     const auto say = [](const std::string& line) { std::fprintf(stderr, "amberswitch: %s\n", line.c_str()); };
-    store::Keeper keptList({own.start.keepFile, own.start.keepAge}, "ASWLIST1", settings::siteOf(config.site),
-                           "list", say);
+    store::StateFile keptList({own.start.keepFile, own.start.keepAge}, "ASWLIST1",
+                              settings::siteOf(config.site), "list", say);
     if (keptList.on()) watch.keepIn(keptList);
-    store::Keeper keptPlaces({own.placement.keepFile, placement::kKeepAge}, "ASWPLCE1",
-                             settings::siteOf(config.site), "standings", say);
-    placement::keepStandings(core, keptPlaces, loop.now());
+    store::StateFile keptPlaces({own.placement.keepFile, placement::kKeepAge}, "ASWPLCE1",
+                                settings::siteOf(config.site), "standings", say);
+    placement::persistPlacements(core, keptPlaces, loop.now());
     watch.begin(loop.now(), config.known);
 
     platform::Consul consul(core, servers, loop.deadlines(), unbounded, own.consul, say);
     if (!own.consul.address.empty()) {
-        core.addFarmSource(consul);
+        core.addRosterSource(consul);
         consul.begin(loop.now());
         consul.watch(loop.now());
     }
@@ -172,13 +173,14 @@
          [&](Time now, const std::string& body) {
              return servers.callback(now, body) == platform::Servers::Call::taken;
          },
-         [&] { return net::Link::open() + kOwn + kept; }, say});
+         [&] { return net::Link::open() + kReservedDescriptors + kept; }, say});
     if (config.acceptFd) {
         other = &takeover;
         front.setElsewhere([&](Time now, const std::string& body, platform::Front::Answer answer) {
-            takeover.elsewhere(now, body, [answer = std::move(answer)](Time at, takeover::Link::Word word) {
-                answer(at, word == takeover::Link::Word::unknown ? 503 : 204);
-            });
+            takeover.elsewhere(now, body,
+                               [answer = std::move(answer)](Time at, takeover::Link::CallbackResult word) {
+                                   answer(at, word == takeover::Link::CallbackResult::unknown ? 503 : 204);
+                               });
         });
     }
 
@@ -194,8 +196,8 @@
 
     gearman::Front gearman(core, loop.deadlines(), own.gearman);
     std::optional<net::Listener> gearmanListener;
-    // Gearman's peers stay for long and can't be asked to come again: half of the descriptors is theirs at
-    // most.
+    // Gearman connections are long-lived and can't be told to reconnect, so they use at most half of the
+    // descriptors.
     if (!own.gearman.listen.empty()) {
         gearmanListener.emplace(loop, *net::endpointOf(own.gearman.listen),
                                 [&](Time now) { return gearman.accept(now); });
@@ -204,7 +206,7 @@
     }
 
     grpc::Front grpcFront(core, loop.deadlines(), own.grpc);
-    grpc::Servers grpcServers(core, loop.deadlines(), wiring, own.grpc, config.seed);
+    grpc::Servers grpcServers(core, loop.deadlines(), connector, own.grpc, config.seed);
     std::optional<net::Listener> grpcListener;
     if (speaksGrpc) {
         grpcServers.configure(loop.now(), own.grpc);
@@ -214,8 +216,7 @@
     }
 
     config::Reload reload(reader, config, own, watch, say, [&](Time now, const config::Operator& next) {
-        // Guards against a front that was to be switched off losing what it serves: it waits for the next
-        // start as it is.
+        // Switching the front on or off takes effect at the next start, so that open calls are not lost.
         if (!speaksGrpc || next.grpc.listen.empty()) return;
         grpcFront.configure(next.grpc);
         grpcServers.configure(now, next.grpc);
@@ -232,14 +233,14 @@
     front.setReport(counters);
     loop.onSignal(SIGUSR1, [&](Time) { std::fputs(counters().c_str(), stderr); });
 
-    Deadlines::Ticket leaving;
+    Deadlines::Timer leaving;
     bool closing = false;
-    const HandOver times = HandOver::of(config.site);
+    const ShutdownSchedule times = ShutdownSchedule::of(config.site);
     std::function<void(Time)> leave = [&](Time now) {
-        if (front.handedOver(now) && core.open() == 0 && front.quiet() && gearman.quiet() &&
+        if (front.handedOver(now) && core.openTransactions() == 0 && front.quiet() && gearman.quiet() &&
             grpcFront.quiet() && control.quiet()) {
-            // No callback is waited for any more. Guards against an exit over what has just come: a close by
-            // the exit would reset it. Those who are connected see this side shut down and close theirs.
+            // No callback is pending. The connections are shut down before the exit, so that peers can close
+            // them; an immediate exit would reset connections with unread input.
             const bool left = front.open() == 0 || now >= service.since() + times.exit;
             if (std::exchange(closing, true) && left) return loop.stop();
             listener.close();
@@ -253,8 +254,9 @@
         if (service.ending()) return;
         service.end(now);
         gearman.drain(now);
-        // With a successor nobody new comes.
-        leaving.arm(loop.deadlines(), now + std::chrono::milliseconds(service.succeeded() ? 20 : 750), leave);
+        // With a successor, no new clients arrive.
+        leaving.arm(loop.deadlines(), now + std::chrono::milliseconds(service.hasSuccessor() ? 20 : 750),
+                    leave);
         loop.deadlines().once(now + times.giveUp, [&](Time at) { core.giveUpAll(at); });
         std::fputs("amberswitch: ending; clients are served until the hand-over's end\n", stderr);
     };
@@ -277,11 +279,11 @@
                                : watch.begunWithAList() ? start::Gate::Has::oldList
                                                         : start::Gate::Has::nothing);
     else
-        meet(loop, takeover, config.meeting);
-    service.listen([&](Time now, service::Standing) {
-        // Gearman has no word for going elsewhere: its peers are served until the end.
+        connectToPredecessor(loop, takeover, config.meeting);
+    service.subscribe([&](Time now, service::ServiceState) {
+        // Gearman has no message for redirecting peers, so they are served until the process ends.
         service.ready() ? grpcFront.resume() : grpcFront.drain(now);
-        if (!service.ending()) say(std::string("now ") + service::nameOf(service.standing()));
+        if (!service.ending()) say(std::string("now ") + service::nameOf(service.state()));
     });
     signals.release();
     loop.run();
@@ -296,7 +298,7 @@
 
 int main() {
     std::signal(SIGPIPE, SIG_IGN);
-    HeldSignals signals;
+    BlockedSignals signals;
     try {
         const char* const path = std::getenv("ROUTER_CONFIG");
         if (!path) throw BadField("ROUTER_CONFIG is not set");
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -41,7 +41,7 @@
 }
 
 void Loop::rearm() {
-    const auto head = deadlines_.head();
+    const auto head = deadlines_.earliest();
     if (head == armed_) return;
     armed_ = head;
     if (!head) {
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -104,7 +104,7 @@
     Socket socket_;
     asio::coroutine reader_, writer_;
     bool readerParked_ = false, writerParked_ = false, lingering_ = false, closed_ = false;
-    Deadlines::Ticket lingerTicket_;
+    Deadlines::Timer lingerTicket_;
     static std::size_t open_;
 };
 
@@ -136,7 +136,7 @@
     asio::coroutine routine_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>();  // gone with this object: accepts outlive it
     bool paused_ = false, waits_ = false;                     // waits_: an accept is under way
-    Deadlines::Ticket again_;
+    Deadlines::Timer again_;
 };
 
 std::optional<tcp::endpoint> endpointOf(std::string_view address);  // "host:port", numbers only
--- a/src/placement/keep.hpp
+++ b/src/placement/keep.hpp
@@ -1,5 +1,6 @@
-// Standings that outlive the process, where the operator names a file: a process that starts later would take
-// a label that was changed under a running server for the only one there ever was.
+// Persists the placement of servers in the file that the operator names. Without it, a restarted process
+// would trust a zone label that was changed while the server was running, because it never saw the earlier
+// label.
 #pragma once
 
 #include "core/core.hpp"
@@ -7,16 +8,16 @@
 
 namespace amberswitch::placement {
 
-constexpr Nanos kKeepAge = std::chrono::hours(24 * 365);  // a server may run for long
+constexpr Nanos kKeepAge = std::chrono::hours(24 * 365);  // servers may run for a long time
 
-inline void keepStandings(Core& core, store::Keeper& keeper, Time now) {
-    if (!keeper.on() || !core.placement().on()) return;
-    if (const auto kept = keeper.load(now)) try {
-            core.placement().recall(kept->body);
+inline void persistPlacements(Core& core, store::StateFile& file, Time now) {
+    if (!file.on() || !core.placement().on()) return;
+    if (const auto kept = file.load(now)) try {
+            core.placement().restorePlacements(kept->body);
         } catch (const settings::BadField& bad) {
-            keeper.refuse(bad.what());
+            file.refuse(bad.what());
         }
-    core.setStandingsChanged([&](Time at) { keeper.save(at, core.placement().standings()); });
+    core.setPlacementsChanged([&](Time at) { file.save(at, core.placement().savedPlacements()); });
 }
 
 }  // namespace amberswitch::placement
--- a/src/placement/ledger.hpp
+++ b/src/placement/ledger.hpp
@@ -1,10 +1,11 @@
-// What one dispatcher may spend of an allowance that holds for the whole fleet, without asking anyone. No
-// I/O.
+// Limits how many jobs one dispatcher spills to other places, as its share of a limit for the whole fleet.
+// The dispatchers don't communicate. No I/O.
 //
-// Promised: over the fleet at most `jobs` in any span, restarts included. Each has a whole number of jobs of
-// its own, the rest of the division goes to seats that move on every ten spans; who loses a seat stops at
-// once, who gets one waits a span. A start begins with an empty purse: what the process before it spent is
-// not known, so it spends nothing for a span.
+// Guarantee: the fleet spills at most `jobs` in any span, restarts included. Each dispatcher has an equal
+// whole number of jobs. The remainder of the division is assigned one job each to dispatchers in rotation,
+// which changes every ten spans: a dispatcher that loses its extra job stops using it immediately, one that
+// gains it waits for one span. After a start nothing is spent for one span, since the spending of the
+// previous process is unknown.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +16,24 @@
 
 namespace amberswitch::placement {
 
-class Ledger {
+class SpillLimiter {
 public:
-    Ledger(const Spill& spill, std::uint32_t fleet, std::uint32_t me, Time start)
-        : spill_(spill), fleet_(fleet), me_(me), start_(start) {}
+    SpillLimiter(const Spill& spill, std::uint32_t fleet, std::uint32_t me, Time start)
+        : spill_(spill), fleetSize_(fleet), index_(me), start_(start) {}
 
-    bool spend(Time now);                                                 // false: nothing is left
-    void giveBack(Time spent);                                            // of what came to nothing
-    std::uint32_t share(std::uint32_t jobs, Nanos span, Time now) const;  // in one span, as of now
+    bool trySpend(Time now);       // false if the allowance is used up
+    void refund(Time spent);       // of a job that was not spilled after all
+    // Returns this dispatcher's part of `jobs` per span, as of now.
+    std::uint32_t share(std::uint32_t jobs, Nanos span, Time now) const;
     std::size_t spent(Time now, Nanos span) const;
 
 private:
-    static constexpr int kSeatSpans = 10;
+    static constexpr int kTermSpans = 10;
 
     Spill spill_;
-    std::uint32_t fleet_, me_;
+    std::uint32_t fleetSize_, index_;
     Time start_;
-    std::deque<Time> times_;  // at most this dispatcher's share of the long span
+    std::deque<Time> times_;  // of spilled jobs; at most this dispatcher's share of the long span
 };
 
 }  // namespace amberswitch::placement
--- a/src/placement/placement.hpp
+++ b/src/placement/placement.hpp
@@ -1,7 +1,7 @@
-// Which servers a job may go to, by where its partner's work is allowed. It chooses no server: it gives each
-// arrival a regime, that is a set of places, and each server the regimes it is in. The module sees a regime
-// as classes of their own, so it picks among what is allowed, and what waits for one place makes nobody
-// else's door stricter. No I/O; time is passed in.
+// Restricts the servers that a job may be sent to, according to the placement policy. It doesn't choose a
+// server: it assigns a set of jurisdictions to each job, and to each server the sets that contain it. The
+// dispatcher sees separate job classes for each set. So it picks among the permitted servers, and jobs that
+// wait for one set don't affect the admission of others. No I/O; callers pass in the time.
 #pragma once
 
 #include <map>
@@ -15,85 +15,88 @@
 
 namespace amberswitch::placement {
 
-enum class Why { none, unknownPlace, moved, known };  // why a server stands where it does
-const char* nameOf(Why why);
+enum class PlacementReason { none, unknownPlace, labelChanged, known };  // how a jurisdiction was found
+const char* nameOf(PlacementReason reason);
 
-struct Standing {
-    std::uint32_t jurisdictions = 0;  // bits, as far as they count for work that is bound to a place
-    Why why = Why::none;
+struct ServerPlacement {
+    std::uint32_t jurisdictions = 0;  // bit mask; 0 if jobs bound to a jurisdiction must not run here
+    PlacementReason reason = PlacementReason::none;
     Time since{0};
     int zone = -1;
-    Time start{0};  // the server's own
+    Time start{0};  // of the server process
     std::string name;
 };
 
 struct Counters {
-    std::uint64_t bound = 0, spilled = 0, returned = 0, nothingLeft = 0, forWantOfHome = 0, nowhere = 0;
-    std::uint64_t moved = 0, unknownPlace = 0;
+    std::uint64_t bound = 0, spilled = 0, returned = 0, allowanceSpent = 0, refusedHome = 0, nowhere = 0;
+    std::uint64_t labelChanged = 0, unknownPlace = 0;
 };
 
 class Placement {
 public:
-    // Adds the regimes' classes and kinds to the site. Throws BadField if there are too many.
+    // Adds the classes and kinds of all sets to `site`. Throws BadField if there are too many.
     Placement(const Policy& policy, settings::Site& site, Time start);
 
     bool on() const { return policy_.on; }
     const Policy& policy() const { return policy_; }
     std::uint32_t wireClasses() const { return static_cast<std::uint32_t>(wireClasses_); }
 
-    // From the farm: the label that was told. A label that is another one than before counts for nothing
-    // bound until the server has started anew: it may be the hardware that is elsewhere, or the label.
-    const Standing& listed(Time now, std::size_t server, const std::string& name, int zone, Time start);
-    const placement::Standing& standing(std::size_t server) const {
-        static const placement::Standing kNowhere;
-        return server < standings_.size() ? standings_[server] : kNowhere;
+    // Updates a server from the roster. If its zone label changes while it runs, it gets no bound jobs until
+    // it has restarted: it is unknown whether the server moved or the label is wrong.
+    const ServerPlacement& updateServer(Time now, std::size_t server, const std::string& name, int zone,
+                                        Time start);
+    const placement::ServerPlacement& placementOf(std::size_t server) const {
+        static const placement::ServerPlacement kNowhere;
+        return server < servers_.size() ? servers_[server] : kNowhere;
     }
-    // What a process that comes after has to know: it would take the newer label for the only one. A line a
-    // server. What can't be read throws BadField, and nothing of it is taken.
-    std::string standings() const;
-    void recall(const std::string& kept);
-    bool changed() { return std::exchange(changed_, false); }  // since last asked
-    // A bit for each class of each regime that such a server may take. 0: none, it must get nothing.
-    std::uint64_t widen(std::uint64_t classes, const Standing& standing) const;
-    int kindOf(int kind, const Standing& standing) const;
+    // Saves and restores the placement of servers over a restart, as one line per server; a new process would
+    // trust a changed label otherwise. Restoring throws BadField on a malformed line and then changes
+    // nothing.
+    std::string savedPlacements() const;
+    void restorePlacements(const std::string& kept);
+    bool changed() { return std::exchange(changed_, false); }  // since the last call
+    // Returns a bit for each class of each set that the server may run. 0 means that it must get no jobs.
+    std::uint64_t classMaskOf(std::uint64_t classes, const ServerPlacement& server) const;
+    int kindOf(int kind, const ServerPlacement& server) const;
 
-    struct Ticket {  // where one job may go, as long as it lives
-        std::size_t regime = 0;
-        const Entry* entry = nullptr;  // none: it may go nowhere
+    struct Ticket {  // the permitted jurisdictions of one job
+        std::size_t placeSet = 0;
+        const Entry* entry = nullptr;  // null: the job may run nowhere
         bool widened = false;
         Time spent{0};
-        Reach reach() const { return widened ? entry->wide : entry->first; }
+        PlaceSet places() const { return widened ? entry->wide : entry->first; }
     };
     Ticket take(int tenant, std::uint32_t klass);
     std::uint32_t classIn(const Ticket& ticket, std::uint32_t klass) const;
-    bool widens(Time now, Ticket& ticket);  // out of the allowance
-    void returned(Ticket& ticket);          // it went nowhere else after all
-    // The core's own check of a send, by the books of `listed` alone.
+    bool tryWiden(Time now, Ticket& ticket);  // uses up the allowance; false if not permitted
+    void revertWidening(Ticket& ticket);      // undoes it for a job that was not sent outside
+    // Checks a send by the placement of the server alone, independently of the dispatcher.
     bool allows(const Ticket& ticket, std::size_t server) const;
-    bool outside(const Ticket& ticket, std::size_t server) const;  // of where it goes first
+    bool isOutside(const Ticket& ticket, std::size_t server) const;  // of the first choice
 
-    void began(Time now, std::size_t server, Nanos wait);  // a job there has begun
-    // Counts it by its reason; the time to come back is what work waits there, from `least` to `most`.
-    Nanos refused(Time now, const Ticket& ticket, Nanos least, Nanos most);
+    void recordStart(Time now, std::size_t server, Nanos wait);  // a job has started there
+    // Counts a refusal and returns the retry delay: the recent waiting time at the first choice of places,
+    // within `least` and `most`.
+    Nanos recordRefusal(Time now, const Ticket& ticket, Nanos least, Nanos most);
 
     Counters& counters() { return counters_; }
     const Counters& counters() const { return counters_; }
 
 private:
     struct Wait {
-        double mean = 0;  // seconds
+        double mean = 0;  // in seconds
         Time at{0};
     };
-    std::size_t regimeOf(const Reach& reach);
+    std::size_t placeSetIndex(const PlaceSet& places);
 
     Policy policy_;
     std::size_t classes_, wireClasses_;
-    std::vector<Reach> regimes_{Reach{}};
-    std::vector<Standing> standings_;
-    std::map<std::string, Standing> recalled_;  // of servers that were not listed yet
+    std::vector<PlaceSet> placeSets_{PlaceSet{}};
+    std::vector<ServerPlacement> servers_;
+    std::map<std::string, ServerPlacement> restored_;  // of servers that are not listed yet
     bool changed_ = false;
-    std::map<const Entry*, Ledger> ledgers_;
-    std::vector<Wait> waits_;  // by jurisdiction
+    std::map<const Entry*, SpillLimiter> limiters_;
+    std::vector<Wait> waits_;  // indexed by jurisdiction
     Counters counters_;
 };
 
--- a/src/placement/policy.cpp
+++ b/src/placement/policy.cpp
@@ -25,14 +25,14 @@
     const auto at = static_cast<std::size_t>(tenant);
     if (tenant >= 0 && at < partners.size() && !partners[at].empty())
         return &partners[at][klass % partners[at].size()];
-    return othersGo ? &anywhere_ : nullptr;
+    return othersAnywhere ? &anywhere_ : nullptr;
 }
 
 namespace {
 
 std::uint32_t bitsOf(const Node& names, const std::vector<std::string>& jurisdictions) {
     std::uint32_t out = 0;
-    for (const Node& name : names.list(kMostJurisdictions)) {
+    for (const Node& name : names.list(kMaxJurisdictions)) {
         const std::uint32_t bit = 1u << name.place(jurisdictions, "jurisdiction");
         if (out & bit) name.fail("is named twice");
         out |= bit;
@@ -65,7 +65,7 @@
     if (out.rule == Rule::home && never) never->fail("says nothing where the rule is home");
     if ((out.rule == Rule::homeFirst) != (spill != nullptr))
         (spill ? *spill : node).fail("'spill' goes with the rule home_first, and only with it");
-    out.first = out.rule == Rule::anywhere ? Reach{0, forbidden, true} : Reach{inside, 0, false};
+    out.first = out.rule == Rule::anywhere ? PlaceSet{0, forbidden, true} : PlaceSet{inside, 0, false};
     out.wide = {0, forbidden, true};
     if (spill) out.spill = readSpill(*spill);
     return out;
@@ -84,8 +84,8 @@
     const std::string text = section.plain();
     out.digest = XXH3_64bits(text.data(), text.size());
     for (const auto& [name, node] : from.need("jurisdictions").entries()) {
-        if (out.jurisdictions.size() == kMostJurisdictions)
-            node.fail("there are more than " + std::to_string(kMostJurisdictions) + " jurisdictions");
+        if (out.jurisdictions.size() == kMaxJurisdictions)
+            node.fail("there are more than " + std::to_string(kMaxJurisdictions) + " jurisdictions");
         const auto one = node.table({"zones", "servers"});
         Policy::Place place;
         if (const Node* const zones = one.find("zones"))
@@ -109,7 +109,7 @@
             inside |= bitsOf(*allowed, out.jurisdictions);
         }
         std::vector<Entry> entries(site.classes.size());
-        // What a class without an entry gets is said, never taken for granted.
+        // The rule for classes without an entry is mandatory; there is no default.
         const std::size_t others = one.need("others").place({"home", "anywhere"}, "rule");
         if (others == 0 && inside == 0) one.need("others").fail("the partner has no home");
         for (Entry& entry : entries)
@@ -124,7 +124,7 @@
         out.partners[static_cast<std::size_t>(tenant - site.tenants.begin())] = std::move(entries);
     }
     out.keepFile = from.text("keep_file", "");
-    out.othersGo = from.need("otherwise").place({"refused", "anywhere"}, "rule") == 1;
+    out.othersAnywhere = from.need("otherwise").place({"refused", "anywhere"}, "rule") == 1;
     return out;
 }
 
--- a/src/placement/policy.hpp
+++ b/src/placement/policy.hpp
@@ -1,5 +1,5 @@
-// Where a partner's work may be done: the document, as the operator file's section `placement` holds it. No
-// I/O.
+// The placement policy: in which jurisdictions the jobs of each partner may run. It is read from the section
+// `placement` of the operator file. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,24 @@
 
 using heronmount::Nanos;
 
-constexpr std::size_t kMostJurisdictions = 16;
+constexpr std::size_t kMaxJurisdictions = 16;
 constexpr std::int64_t kSchema = 1;
 
-// A set of places, by bits of jurisdictions. A server of no known jurisdiction is in it only where all are.
-struct Reach {
+// A set of jurisdictions in which a job may run, as bit masks. A server without a known jurisdiction is
+// contained only in the set of all servers.
+struct PlaceSet {
     std::uint32_t of = 0, never = 0;
-    bool all = true;  // but for `never`; else `of` alone
-    bool operator==(const Reach&) const = default;
-    bool holds(std::uint32_t jurisdictions) const {
+    bool all = true;  // all except `never`; if false, only `of`
+    bool operator==(const PlaceSet&) const = default;
+    bool contains(std::uint32_t jurisdictions) const {
         if (jurisdictions & never) return false;
-        // Guards against an unknown server that may be in a place that is forbidden.
+        // A server without a known jurisdiction may be in a forbidden one.
         return all ? never == 0 || jurisdictions != 0 : (jurisdictions & of) != 0;
     }
 };
 
-// Jobs that may go elsewhere, over the whole fleet: so many in any span of `longSpan`, and of `shortSpan`.
+// The number of jobs that the whole fleet may run outside their home, in any `longSpan` and in any
+// `shortSpan`.
 struct Spill {
     std::uint32_t longJobs = 0, shortJobs = 0;
     Nanos longSpan{0}, shortSpan{0};
@@ -35,9 +37,9 @@
 
 enum class Rule { home, homeFirst, anywhere };
 
-struct Entry {  // of a partner's class
+struct Entry {  // the rule for one class of one partner
     Rule rule = Rule::anywhere;
-    Reach first, wide;  // where it goes, and where it may go out of the allowance
+    PlaceSet first, wide;  // the first choice, and the wider set that uses up the allowance
     Spill spill;
 };
 
@@ -50,13 +52,13 @@
         std::vector<int> zones;
         std::vector<std::string> servers;
     };
-    std::vector<Place> places;                 // by jurisdiction
-    std::vector<std::vector<Entry>> partners;  // by the site's tenant and class
-    std::string keepFile;                      // where standings are kept over a restart; empty: nowhere
-    bool othersGo = false;                     // who is no partner: anywhere, else refused
+    std::vector<Place> places;                 // indexed by jurisdiction
+    std::vector<std::vector<Entry>> partners;  // indexed by tenant and class of the site
+    std::string keepFile;                      // persists the placement of servers; empty: disabled
+    bool othersAnywhere = false;               // jobs of other tenants: anywhere if true, else refused
 
-    std::uint32_t of(int zone, const std::string& server) const;  // the jurisdictions' bits
-    // Null: this work is done nowhere.
+    std::uint32_t of(int zone, const std::string& server) const;  // a bit mask
+    // Returns null if such jobs are refused.
     const Entry* entry(int tenant, std::size_t klass) const;
 
 private:
--- a/src/platform/consul.cpp
+++ b/src/platform/consul.cpp
@@ -49,7 +49,7 @@
     config.hold.most = from.milliseconds("most_hold_down_ms", config.hold.most, 0);
     config.hold.halfLife = from.milliseconds("flap_half_life_ms", config.hold.halfLife, 1);
     config.keep.file = from.text("keep_file", "");
-    config.keep.mostAge = std::chrono::seconds(from.integer("keep_age_s", std::int64_t{3600}, 1, 31'536'000));
+    config.keep.maxAge = std::chrono::seconds(from.integer("keep_age_s", std::int64_t{3600}, 1, 31'536'000));
     if (!config.address.empty() && config.service.empty()) from.need("service").fail("is missing");
     if (config.token.find_first_of("\r\n") != std::string::npos)
         from.need("token").fail("holds the end of a line");
@@ -160,9 +160,9 @@
         heldDown_.disarm();
     if (changes.empty() && !std::exchange(lost_, false)) return;  // after a loss the module hears in any case
     lost_ = false;
-    std::vector<FarmEntry> entries;
+    std::vector<RosterServer> entries;
     for (const consul::Member& member : changes) {
-        FarmEntry told;
+        RosterServer told;
         told.name = member.name;
         auto& e = told.entry;
         e.zone = member.zone, e.kind = member.kind, e.cell = member.cell;
@@ -170,7 +170,7 @@
         entries.push_back(std::move(told));
         servers_.learn(now, core_.handleOf(member.name), member.name, member.address);
     }
-    core_.farm(now, *this, servers_, mode, entries);
+    core_.updateRoster(now, *this, servers_, mode, entries);
     if (keeper_.on() && !keep_.armed())
         keep_.arm(deadlines_, now + kKeepEvery, [this](Time at) { keeper_.save(at, view_.listings()); });
 }
--- a/src/platform/consul.hpp
+++ b/src/platform/consul.hpp
@@ -15,7 +15,7 @@
     bool health = true;  // else the catalogue
     Nanos wait = std::chrono::seconds(30);
     consul::HoldDown hold;
-    consul::KeepConfig keep;
+    consul::StateFileConfig keep;
 };
 ConsulConfig readConsul(const settings::Node& section);  // throws settings::BadField
 
@@ -48,7 +48,7 @@
     consul::View view_;
     Deadlines& deadlines_;
     consul::Keeper keeper_;
-    Deadlines::Ticket heldDown_, keep_;
+    Deadlines::Timer heldDown_, keep_;
     static constexpr Nanos kKeepEvery = std::chrono::seconds(1);
 };
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -93,9 +93,9 @@
         if (path == "/-/ready") {
             if (!get) return reply(now, 405, "");
             // Another process has this dispatcher's clients: who asks here comes to it from now on.
-            if (owner_.service_.ending() && owner_.service_.succeeded()) lastOne();
-            if (owner_.service_.ready() || owner_.service_.succeeded()) return reply(now, 200, "ready\n");
-            return reply(now, 503, std::string(service::nameOf(owner_.service_.standing())) + "\n");
+            if (owner_.service_.ending() && owner_.service_.hasSuccessor()) lastOne();
+            if (owner_.service_.ready() || owner_.service_.hasSuccessor()) return reply(now, 200, "ready\n");
+            return reply(now, 503, std::string(service::nameOf(owner_.service_.state())) + "\n");
         }
         if (path == "/-/counters")
             return get ? reply(now, 200, owner_.report_ ? owner_.report_() : "") : reply(now, 405, "");
@@ -105,14 +105,14 @@
         auto arrival = readJob(owner_.core_.site(), message, bad);
         if (!arrival) return fault(now, bad.status, bad.why + "\n");
         if (owner_.turnsAway(now)) {
-            owner_.core_.turnedAway(arrival->request.klass, true);
+            owner_.core_.countRejectedByFront(arrival->request.klass, true);
             return reply(now, 503, "unavailable, try again\n", advice(std::chrono::milliseconds(100)));
         }
         // Guards against a second job under the id of one that is open: application servers and their
         // callbacks know jobs by it. The first goes on unharmed.
         if (!owner_.claim(now, arrival->job.traceId)) {
             ++owner_.counters_.takenIds;
-            owner_.core_.turnedAway(arrival->request.klass, false);
+            owner_.core_.countRejectedByFront(arrival->request.klass, false);
             return fault(now, 409, "this X-Trace-Id is in use\n", advice(kComeBack));
         }
         faults_ = 0;
@@ -127,7 +127,7 @@
     }
 
     bool parting(Time now) const override {
-        const bool others = owner_.service_.ending() && !owner_.service_.succeeded();
+        const bool others = owner_.service_.ending() && !owner_.service_.hasSuccessor();
         return (others || of_ == Of::client) && owner_.leaves(now);
     }
     void stateChanged(Time, State to) override {
@@ -161,8 +161,8 @@
       servers_(servers),
       deadlines_(deadlines),
       service_(service),
-      handOver_(HandOver::of(core.site())) {
-    service_.listen([this](Time now, service::Standing) { standingChanged(now); });
+      handOver_(ShutdownSchedule::of(core.site())) {
+    service_.subscribe([this](Time now, service::ServiceState) { standingChanged(now); });
 }
 Front::~Front() = default;
 
@@ -189,26 +189,27 @@
 }
 
 bool Front::leaves(Time now) const {
-    using service::Standing;
-    if (service_.ending()) return service_.succeeded() || now >= service_.since() + handOver_.turnAway;
-    return service_.standing() == Standing::outOfService;
+    using service::ServiceState;
+    if (service_.ending()) return service_.hasSuccessor() || now >= service_.since() + handOver_.rejectJobs;
+    return service_.state() == ServiceState::outOfService;
 }
 
 bool Front::turnsAway(Time now) const {
-    using service::Standing;
-    if (service_.ending()) return now >= service_.since() + handOver_.turnAway;
-    return service_.standing() == Standing::outOfService && now >= service_.since() + Drain::turnAway;
+    using service::ServiceState;
+    if (service_.ending()) return now >= service_.since() + handOver_.rejectJobs;
+    return service_.state() == ServiceState::outOfService &&
+           now >= service_.since() + DrainSchedule::rejectJobs;
 }
 
 // Everything else follows from the standing as it is asked for: in service again, nothing is left over.
 void Front::standingChanged(Time now) {
-    using service::Standing;
+    using service::ServiceState;
     sweep_.disarm();
     if (service_.ending())
-        sweep_.arm(deadlines_, service_.succeeded() ? now : service_.since() + handOver_.turnAway,
+        sweep_.arm(deadlines_, service_.hasSuccessor() ? now : service_.since() + handOver_.rejectJobs,
                    [this](Time at) { sweep(at); });
-    else if (service_.standing() == Standing::outOfService)
-        sweep_.arm(deadlines_, now + Drain::closeRested, [this](Time at) { sweep(at); });
+    else if (service_.state() == ServiceState::outOfService)
+        sweep_.arm(deadlines_, now + DrainSchedule::closeIdle, [this](Time at) { sweep(at); });
 }
 
 // Guards against a request that meets the process's end unread: a client whose idle connection is closed in
@@ -218,12 +219,12 @@
     for (const Connections& peers : resting_)
         for (const auto& connection : peers) {
             const bool theirs =
-                (service_.ending() && !service_.succeeded()) || connection->of() == Connection::Of::client;
+                (service_.ending() && !service_.hasSuccessor()) || connection->of() == Connection::Of::client;
             if (theirs && connection->rests() && now - connection->born() > kPatience)
                 rested.push_back(connection);
         }
     for (const auto& connection : rested) connection->shutdown(now);
-    sweep_.arm(deadlines_, now + Drain::lookAgain, [this](Time at) { sweep(at); });
+    sweep_.arm(deadlines_, now + DrainSchedule::recheckInterval, [this](Time at) { sweep(at); });
 }
 
 void Front::shutdown(Time now) {
@@ -271,7 +272,8 @@
 
 bool Front::handedOver(Time now) const {
     if (!service_.ending()) return false;
-    return now >= service_.since() + handOver_.turnAway || (service_.succeeded() ? clients() : open()) == 0;
+    return now >= service_.since() + handOver_.rejectJobs ||
+           (service_.hasSuccessor() ? clients() : open()) == 0;
 }
 
 std::vector<std::string> Front::idsInUse() const {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -84,8 +84,8 @@
     std::function<std::string()> report_;
     Elsewhere elsewhere_;
     service::Service& service_;
-    const HandOver handOver_;
-    Deadlines::Ticket sweep_;
+    const ShutdownSchedule handOver_;
+    Deadlines::Timer sweep_;
     Counters counters_;
 };
 
--- a/src/platform/long_poll.cpp
+++ b/src/platform/long_poll.cpp
@@ -16,7 +16,7 @@
         // failed: there was none.
         const bool paced = owner_.pace_.gap.count() > 0;
         if (owner_.running_ && owner_.due_.armed() && (owner_.out_ || paced))
-            owner_.lost(now, start::Loss::refused);
+            owner_.lost(now, start::CallFailure::refused);
     }
 
     LongPoll& owner_;
@@ -61,7 +61,7 @@
     ++calls_;
     asked_ = now, out_ = true;
     wait_ = waits() ? mostWait() : Nanos(0);
-    due_.arm(deadlines_, now + wait_ + grace(), [this](Time at) { lost(at, start::Loss::silent); });
+    due_.arm(deadlines_, now + wait_ + grace(), [this](Time at) { lost(at, start::CallFailure::silent); });
     const bool fresh = !connection_ || connection_->state() != http::Client::State::idle;
     if (fresh) connection_ = std::make_shared<Connection>(*this);
     const auto connection = connection_;
@@ -78,7 +78,7 @@
         if (const std::string* const wait = message.header("retry-after"))
             if (const auto seconds = http::decimalNumber(*wait))
                 notBefore = now + Nanos(static_cast<std::int64_t>(1e9 * std::min(*seconds, kMostAdvice)));
-        return lost(now, start::Loss::busy, notBefore);
+        return lost(now, start::CallFailure::busy, notBefore);
     }
     const auto turn = replied(now, now - asked_, waited);
     if (!running_) return;
@@ -89,20 +89,20 @@
 }
 
 // The old list still holds. When to ask again is for its turns to say, else for the pace or the module.
-void LongPoll::lost(Time now, start::Loss how, Time notBefore) {
+void LongPoll::lost(Time now, start::CallFailure how, Time notBefore) {
     due_.disarm();
     out_ = false;
     // A service that is busy is spared a new connection.
-    if (how != start::Loss::busy || !connection_ || connection_->state() != http::Client::State::idle)
+    if (how != start::CallFailure::busy || !connection_ || connection_->state() != http::Client::State::idle)
         if (const auto connection = std::exchange(connection_, nullptr))
             connection->close(now, End::timedOut);
     forgotten(false);
     if (now < hurryUntil_) return due_.arm(deadlines_, now + kHurryGap, [this](Time at) { ask(at); });
     if (const auto turn = nextTurn(now, how, notBefore)) {
-        core_.farmLost(now, false);
+        core_.rosterLost(now, false);
         return due_.arm(deadlines_, *turn, [this](Time at) { ask(at); });
     }
-    core_.farmLost(now, pace_.again.count() == 0);
+    core_.rosterLost(now, pace_.again.count() == 0);
     if (pace_.again.count() > 0) return due_.arm(deadlines_, now + pace_.again, [this](Time at) { ask(at); });
     running_ = false;
 }
--- a/src/platform/long_poll.hpp
+++ b/src/platform/long_poll.hpp
@@ -10,7 +10,7 @@
 
 namespace amberswitch::platform {
 
-class LongPoll : public FarmSource {
+class LongPoll : public RosterSource {
 public:
     void watch(Time now) override;  // unless it runs already
     void hasten(Time now);          // it does not wait for its turn
@@ -41,7 +41,9 @@
     virtual bool waits() const { return true; }      // the next call may wait there
     virtual Nanos mostWait() { return pace_.wait; }  // and so long
     // A call failed: when the next is to come, where that is not the pace's or the module's to say.
-    virtual std::optional<Time> nextTurn(Time, start::Loss, Time /* notBefore */) { return std::nullopt; }
+    virtual std::optional<Time> nextTurn(Time, start::CallFailure, Time /* notBefore */) {
+        return std::nullopt;
+    }
     // A call was answered with a list. When the next is to come, if not by the pace.
     virtual std::optional<Time> replied(Time, Nanos /* took */, bool /* waited */) { return std::nullopt; }
     virtual Nanos grace() const { return pace_.grace; }  // of the next call
@@ -64,14 +66,14 @@
 
     void ask(Time now);
     void answered(Time now, const http::Message& message);
-    void lost(Time now, start::Loss how, Time notBefore = Time(0));
+    void lost(Time now, start::CallFailure how, Time notBefore = Time(0));
 
     Deadlines& deadlines_;
     wire::Connector& connector_;
     std::string address_;
     Pace pace_;
     std::shared_ptr<Connection> connection_;
-    Deadlines::Ticket due_;
+    Deadlines::Timer due_;
     Time hurryUntil_{0};
     std::size_t calls_ = 0;
     Time asked_{0};
--- a/src/platform/names.cpp
+++ b/src/platform/names.cpp
@@ -107,7 +107,7 @@
     out.whole = flag(from, "snapshot", false);
     for (const element value : list(from, "endpoints")) {
         const object entry = asObject(value, "endpoints");
-        FarmEntry told;
+        RosterServer told;
         told.name = text(entry, "name");
         auto& e = told.entry;
         const auto place = [](const std::vector<std::string>& names, std::string_view name) {
--- a/src/platform/names.hpp
+++ b/src/platform/names.hpp
@@ -29,7 +29,7 @@
 struct FarmList {
     std::int64_t version = 0;
     bool whole = false;
-    std::vector<FarmEntry> entries;
+    std::vector<RosterServer> entries;
     std::vector<std::string> addresses;  // one for each entry
 };
 FarmList readFarm(const settings::Site& site, const settings::object& from);  // throws settings::BadField
--- a/src/platform/servers.cpp
+++ b/src/platform/servers.cpp
@@ -105,7 +105,7 @@
 
     Servers& owner_;
     Worker server_;
-    Deadlines::Ticket watchdog_;
+    Deadlines::Timer watchdog_;
     Task task_ = Task::none;
     bool unwritten_ = false;  // a pass that is not written whole yet, called off or not
     TransactionId transaction_ = 0;
--- a/src/platform/watch.cpp
+++ b/src/platform/watch.cpp
@@ -10,12 +10,12 @@
 // A gap of 200 ms would end the watch.
 //
 // Where lists are asked for, calls have a price and wait for long; when a watch that was lost begins again is
-// for start::Turns to say. Where they are pushed, the agent on this machine answers at no cost, and what it
-// has counts as told: an agent that was silent must be heard again well inside the rule on drains, also over
-// a connection that died with it. Guards besides against an agent that answers each call at once making a
-// loop of it.
+// for start::CallSchedule to say. Where they are pushed, the agent on this machine answers at no cost, and
+// what it has counts as told: an agent that was silent must be heard again well inside the rule on drains,
+// also over a connection that died with it. Guards besides against an agent that answers each call at once
+// making a loop of it.
 LongPoll::Pace Watch::paceOf(const settings::Site& site) {
-    if (site.module.rosterOnRequest) return {20s, start::Turns::kSilence, 0s, 0s};
+    if (site.module.rosterOnRequest) return {20s, start::CallSchedule::kCallTimeout, 0s, 0s};
     const Nanos grace = site.drainGrace.count() > 0 ? std::min<Nanos>(site.drainGrace, 4s) : 2s;
     return {grace / 4, grace / 8, std::min<Nanos>(grace / 40, 50ms), std::min<Nanos>(grace / 20, 100ms)};
 }
@@ -30,8 +30,9 @@
     // turns come in that time, without one all but one.
     if (site.rosterOnRequest)
         turns_.emplace(
-            start::Turns::Terms{site.schedulerCount, site.schedulerIndex, pace, site.rosterRequestWindow / 2,
-                                site.rosterRequestWindow / 40 * 39, core.site().drainGrace},
+            start::CallSchedule::Config{site.schedulerCount, site.schedulerIndex, pace,
+                                        site.rosterRequestWindow / 2, site.rosterRequestWindow / 40 * 39,
+                                        core.site().drainGrace},
             seed);
 }
 
@@ -40,8 +41,8 @@
         known(now, *list), begunWithAList_ = true;
     else if (!beginWithKept(now))
         // Guards against a module that nobody wakes: it asks for lists from its first event on
-        core_.farm(now, *this, servers_, RosterMode::stale, {});
-    turns_ ? LongPoll::begin(turns_->first(now, begunWithAList_)) : watch(now);
+        core_.updateRoster(now, *this, servers_, RosterMode::stale, {});
+    turns_ ? LongPoll::begin(turns_->firstTurn(now, begunWithAList_)) : watch(now);
 }
 
 bool Watch::beginWithKept(Time now) {
@@ -56,21 +57,21 @@
     return begunWithAList_ = !told_.empty();
 }
 
-std::optional<Time> Watch::nextTurn(Time now, start::Loss how, Time notBefore) {
+std::optional<Time> Watch::nextTurn(Time now, start::CallFailure how, Time notBefore) {
     if (!turns_) return std::nullopt;
-    return turns_->after(now, how, notBefore);
+    return turns_->turnAfterFailure(now, how, notBefore);
 }
 
 std::optional<Time> Watch::replied(Time now, Nanos took, bool waited) {
-    if (turns_ && waited) turns_->heard();
+    if (turns_ && waited) turns_->answeredAfterWait();
     if (!turns_ || waited) return std::nullopt;
     turns_->answered(took);
-    return turns_->later(now);
+    return turns_->watchTurn(now);
 }
 
 // Others may stand before a call for a whole list.
 Nanos Watch::grace() const {
-    return turns_ && !waits() ? turns_->patience() : pace().grace;
+    return turns_ && !waits() ? turns_->answerTimeout() : pace().grace;
 }
 
 void Watch::known(Time now, const object& list) {
@@ -97,7 +98,7 @@
     if (list.whole) told_.clear();
     std::size_t at = 0;
     for (const element entry : settings::list(from, "endpoints")) {
-        const FarmEntry& read = list.entries[at++];
+        const RosterServer& read = list.entries[at++];
         if (read.entry.status == heronmount::WorkerStatus::off)
             told_.erase(read.name);
         else
@@ -140,11 +141,11 @@
     if (keeps_) note(from, list);
     version_ = list.version;
     if (list.version < 0) version_.reset();
-    core_.farm(now, *this, servers_,
-               stale        ? RosterMode::stale
-               : list.whole ? RosterMode::full
-                            : RosterMode::incremental,
-               list.entries);
+    core_.updateRoster(now, *this, servers_,
+                       stale        ? RosterMode::stale
+                       : list.whole ? RosterMode::full
+                                    : RosterMode::incremental,
+                       list.entries);
 }
 
 }  // namespace amberswitch::platform
--- a/src/platform/watch.hpp
+++ b/src/platform/watch.hpp
@@ -23,11 +23,11 @@
     std::string told() const;
     void keep() { keeps_ = true; }
     // Each list is kept there, and without a known one the kept one begins. To be said before begin().
-    void keepIn(store::Keeper& keeper) { keeper_ = &keeper, keeps_ = true; }
+    void keepIn(store::StateFile& keeper) { keeper_ = &keeper, keeps_ = true; }
     bool begunWithAList() const { return begunWithAList_; }
     // Told once, with the first list that is not an old one.
     void setFirst(std::function<void(Time)> first) { first_ = std::move(first); }
-    const std::optional<start::Turns>& turns() const { return turns_; }
+    const std::optional<start::CallSchedule>& turns() const { return turns_; }
     // Throws BadField if it can't be used.
     void inherit(Time now, std::string_view list);
 
@@ -36,11 +36,11 @@
     static Pace paceOf(const settings::Site& site);
     std::string target() const override;
     bool waits() const override { return version_.has_value(); }
-    Nanos mostWait() override { return turns_ ? turns_->wait() : pace().wait; }
+    Nanos mostWait() override { return turns_ ? turns_->watchWait() : pace().wait; }
     void forgotten(bool moved) override {
         if (moved || !turns_) version_.reset();
     }
-    std::optional<Time> nextTurn(Time now, start::Loss how, Time notBefore) override;
+    std::optional<Time> nextTurn(Time now, start::CallFailure how, Time notBefore) override;
     std::optional<Time> replied(Time now, Nanos took, bool waited) override;
     Nanos grace() const override;
     bool take(Time now, const http::Message& message) override;
@@ -53,11 +53,11 @@
     bool keeps_ = false;
     std::map<std::string, std::string, std::less<>> told_;  // by name: an entry as it came
     std::optional<std::int64_t> version_;                   // none: the whole list comes first
-    std::optional<start::Turns> turns_;                     // where lists are asked for
+    std::optional<start::CallSchedule> turns_;              // where lists are asked for
     std::function<void(Time)> first_;
     Deadlines& deadlines_;
-    store::Keeper* keeper_ = nullptr;
-    Deadlines::Ticket keep_;
+    store::StateFile* keeper_ = nullptr;
+    Deadlines::Timer keep_;
     bool begunWithAList_ = false;
     static constexpr Nanos kKeepEvery = std::chrono::seconds(1);
 };
--- a/src/report.cpp
+++ b/src/report.cpp
@@ -32,13 +32,13 @@
         add("aborted." + classes[i], c.byClass[i].aborted);
     }
     add("forwards", c.forwards);
-    add("outstanding", core.open());
-    add("discovered", core.listed());
-    add("ejected", core.avoided());
+    add("outstanding", core.openTransactions());
+    add("discovered", core.listedServers());
+    add("ejected", core.avoidedWorkerCount());
     return out;
 }
 
-std::string report(const store::Keeper& storedList) {
+std::string report(const store::StateFile& storedList) {
     Lines out;
     const auto& k = storedList.counters();
     out.add("kept_list.saved", k.saved), out.add("kept_list.failed", k.failed);
@@ -52,9 +52,9 @@
     out.add("placement.number", static_cast<std::uint64_t>(placement.policy().number));
     out.add("placement.digest", placement.policy().digest);
     out.add("placement.bound", c.bound), out.add("placement.spilled", c.spilled);
-    out.add("placement.spill_returned", c.returned), out.add("placement.allowance_spent", c.nothingLeft);
-    out.add("placement.refused_home", c.forWantOfHome), out.add("placement.nowhere", c.nowhere);
-    out.add("placement.label_changed", c.moved), out.add("placement.place_unknown", c.unknownPlace);
+    out.add("placement.spill_returned", c.returned), out.add("placement.allowance_spent", c.allowanceSpent);
+    out.add("placement.refused_home", c.refusedHome), out.add("placement.nowhere", c.nowhere);
+    out.add("placement.label_changed", c.labelChanged), out.add("placement.place_unknown", c.unknownPlace);
     return out.text;
 }
 
@@ -75,24 +75,24 @@
     };
     const Counters& c = core.counters();
     line("transactions.taken", c.taken);
-    line("transactions.open", core.open());
+    line("transactions.open", core.openTransactions());
     line("transactions.served", c.served);
     line("transactions.unavailable", c.unavailable);
     line("transactions.failed", c.failed);
     line("transactions.left", c.left);
-    line("transactions.left_unheard", c.leftUnheard);
+    line("transactions.left_unheard", c.leftUnnoticed);
     line("passes.sent", c.passes);
     line("passes.forwards", c.forwards);
     line("passes.started", c.started);
     line("passes.cancelled", c.cancels);
     line("passes.withheld_by_rule", c.withheld);
     line("passes.late_results", c.lateResults);
-    line("answers.unavailable_made_failed_by_rule", c.softened);
+    line("answers.unavailable_made_failed_by_rule", c.refusalsMadeFailures);
     ends("passes.ended", c.ends);
     line("passes.load_reports", c.loadReports);
     line("log.trace_dropped", core.trace().dropped());
-    line("farm.updates", c.farmUpdates);
-    line("farm.lost", c.farmLost);
+    line("farm.updates", c.rosterUpdates);
+    line("farm.lost", c.rosterLosses);
     line("farm.calls", watch.calls());
     if (watch.turns())
         line("farm.round_ms",
@@ -139,7 +139,7 @@
     out.add("control.connections", c.connections);
     out.add("control.calls", c.calls);
     out.add("control.refused", c.refused);
-    out.add("control.pushed_out", c.pushedOut);
+    out.add("control.pushed_out", c.evicted);
     out.ends("control.ended", c.ends);
     return out.text;
 }
@@ -155,7 +155,7 @@
     out.add("takeover.retaken", c.retaken);
     out.add("takeover.callbacks_passed_on", c.passedOn);
     out.add("takeover.callbacks_owned_there", c.owned);
-    out.add("takeover.callbacks_nobodys", c.nobodys);
+    out.add("takeover.callbacks_nobodys", c.unowned);
     out.add("takeover.callbacks_unanswered", c.unknown);
     out.add("takeover.callbacks_taken_for", c.took);
     return out.text;
--- a/src/report.hpp
+++ b/src/report.hpp
@@ -26,7 +26,7 @@
 // For the operators' address: what the start waits for, and since how many milliseconds. Empty once the start
 // is complete.
 std::string report(const start::Gate& gate, Time now);
-std::string report(const store::Keeper& storedList);        // if the server list is stored
+std::string report(const store::StateFile& storedList);     // if the server list is stored
 std::string report(const placement::Placement& placement);  // if there is a placement policy
 std::string report(const control::Control& control);        // if the operators' address is on
 std::string report(const takeover::Takeover& takeover);
--- a/src/service/service.hpp
+++ b/src/service/service.hpp
@@ -1,5 +1,5 @@
-// The standing of this process towards its clients: one value with one owner. All who act on it read it here
-// or are told of a change; nobody keeps a copy.
+// The service state of this process towards its clients. It is the only copy: other parts read it here or
+// subscribe to changes.
 #pragma once
 
 #include <functional>
@@ -13,66 +13,67 @@
 using heronmount::Nanos;
 using heronmount::Time;
 
-enum class Standing { starting, inService, outOfService, ending };
+enum class ServiceState { starting, inService, outOfService, ending };
 
-inline const char* nameOf(Standing standing) {
+inline const char* nameOf(ServiceState state) {
     constexpr const char* kNames[] = {"starting", "in service", "out of service", "ending"};
-    return kNames[static_cast<std::size_t>(standing)];
+    return kNames[static_cast<std::size_t>(state)];
 }
 
 class Service {
 public:
-    using Hear = std::function<void(Time now, Standing was)>;
+    using Listener = std::function<void(Time now, ServiceState previous)>;
 
-    Standing standing() const { return standing_; }
-    Time since() const { return since_; }  // when it last changed
-    bool ready() const { return standing_ == Standing::inService; }
-    bool ending() const { return standing_ == Standing::ending; }
-    // Another process of this dispatcher takes its clients: the dispatcher is ready though this one ends.
-    bool succeeded() const { return succeeded_; }
-    void succeed(Time now, bool yes) {
-        if (std::exchange(succeeded_, yes) != yes) hear(now, standing_);
+    ServiceState state() const { return state_; }
+    Time since() const { return since_; }  // time of the last change of the state
+    bool ready() const { return state_ == ServiceState::inService; }
+    bool ending() const { return state_ == ServiceState::ending; }
+    // Whether another process of this dispatcher accepts its clients. The dispatcher is then ready even if
+    // this process is ending.
+    bool hasSuccessor() const { return hasSuccessor_; }
+    void setSuccessor(Time now, bool yes) {
+        if (std::exchange(hasSuccessor_, yes) != yes) notify(now, state_);
     }
 
-    // Asked for twice, each is a yes and changes nothing. False where it can't be done: before the start is
-    // over a drain is remembered for its end, and an end is never taken back.
+    // The transitions are idempotent. They return false if the process is ending, which is final. A drain
+    // that is requested during the start takes effect at its end.
     bool begin(Time now) {
-        if (standing_ == Standing::starting)
-            change(now, drainFirst_ ? Standing::outOfService : Standing::inService);
+        if (state_ == ServiceState::starting)
+            change(now, drainAfterStart_ ? ServiceState::outOfService : ServiceState::inService);
         return !ending();
     }
     bool outOfService(Time now) {
-        drainFirst_ = true;
-        if (standing_ == Standing::inService) change(now, Standing::outOfService);
+        drainAfterStart_ = true;
+        if (state_ == ServiceState::inService) change(now, ServiceState::outOfService);
         return !ending();
     }
     bool inService(Time now) {
-        drainFirst_ = false;
-        if (standing_ == Standing::outOfService) change(now, Standing::inService);
+        drainAfterStart_ = false;
+        if (state_ == ServiceState::outOfService) change(now, ServiceState::inService);
         return !ending();
     }
     void end(Time now) {
-        if (!ending()) change(now, Standing::ending);
+        if (!ending()) change(now, ServiceState::ending);
     }
 
-    // Told of each change after it, of a successor's too, in the order of asking. For as long as the process
-    // runs.
-    void listen(Hear hear) { hears_.push_back(std::move(hear)); }
+    // Subscribes to changes of the state and of hasSuccessor(). Listeners are called after each change, in
+    // the order of subscription, and can't be removed.
+    void subscribe(Listener listener) { listeners_.push_back(std::move(listener)); }
 
 private:
-    void change(Time now, Standing to) {
-        const Standing was = std::exchange(standing_, to);
+    void change(Time now, ServiceState to) {
+        const ServiceState previous = std::exchange(state_, to);
         since_ = now;
-        hear(now, was);
+        notify(now, previous);
     }
-    void hear(Time now, Standing was) {
-        for (const Hear& one : hears_) one(now, was);
+    void notify(Time now, ServiceState previous) {
+        for (const Listener& listener : listeners_) listener(now, previous);
     }
 
-    Standing standing_ = Standing::starting;
+    ServiceState state_ = ServiceState::starting;
     Time since_{0};
-    bool drainFirst_ = false, succeeded_ = false;
-    std::vector<Hear> hears_;
+    bool drainAfterStart_ = false, hasSuccessor_ = false;
+    std::vector<Listener> listeners_;
 };
 
 }  // namespace amberswitch::service
--- a/src/start/gate.hpp
+++ b/src/start/gate.hpp
@@ -1,5 +1,5 @@
-// Whether a start may say that it takes clients: with a list of the service in hand, or once what it has
-// instead has to do.
+// Decides when a starting process reports itself ready: after the first list from the list service, or
+// earlier if it has another source of servers or has waited long enough with an old list.
 #pragma once
 
 #include <functional>
@@ -10,19 +10,20 @@
 
 class Gate {
 public:
-    // What there is without the service: nothing, a list that may be old, or servers of another source.
+    // What is known without the list service: nothing, a list that may be outdated, or servers of another
+    // source.
     enum class Has { nothing, oldList, otherSource };
     using Open = std::function<void(Time)>;
 
-    // `mostWait` counts where there is an old list. Without anything the list is waited for however long that
-    // takes: a dispatcher that has no servers can only refuse.
-    Gate(Deadlines& deadlines, Nanos mostWait, Open open);
+    // `maxWait` applies if there is an old list. Without any list the wait is unlimited, since a dispatcher
+    // without servers can only refuse jobs. `open` is called once. `deadlines` must outlive the gate.
+    Gate(Deadlines& deadlines, Nanos maxWait, Open open);
 
     void begin(Time now, Has has);
-    void listed(Time now);  // the service gave a list, an empty one too
+    void listed(Time now);  // the list service returned a list, possibly empty
 
     bool waits() const { return begun_ && !opened_; }
-    Time since() const { return since_; }  // of the wait
+    Time since() const { return since_; }  // start of the wait
     const char* waitsFor() const { return has_ == Has::oldList ? "a new list" : "a list"; }
 
 private:
@@ -30,9 +31,9 @@
 
     Deadlines& deadlines_;
     Has has_ = Has::nothing;
-    Nanos mostWait_;
+    Nanos maxWait_;
     Open open_;
-    Deadlines::Ticket due_;
+    Deadlines::Timer due_;
     Time since_{0};
     bool begun_ = false, opened_ = false, listed_ = false;
 };
--- a/src/start/turns.cpp
+++ b/src/start/turns.cpp
@@ -18,101 +18,106 @@
     return out;
 }
 
-Turns::Turns(const Terms& terms, std::uint64_t seed)
-    : terms_(terms),
-      first_(static_cast<std::int64_t>(1e9 / terms.pace.callsPerSecond)),
-      each_(first_),
+CallSchedule::CallSchedule(const Config& config, std::uint64_t seed)
+    : config_(config),
+      initialEstimate_(static_cast<std::int64_t>(1e9 / config.pace.callsPerSecond)),
+      estimate_(initialEstimate_),
       state_(seed) {
-    // Guards against settings that say nothing of it.
-    terms_.longest = std::max(terms_.longest, kAlone);
-    terms_.longestWithout = std::max(terms_.longestWithout, kAlone);
-    if (terms_.pace.longest.count() > 0) terms_.longest = terms_.longestWithout = terms_.pace.longest;
+    // The settings may leave these limits unset.
+    config_.longest = std::max(config_.longest, kMaxBackoff);
+    config_.maxRoundWithoutList = std::max(config_.maxRoundWithoutList, kMaxBackoff);
+    if (config_.pace.longest.count() > 0)
+        config_.longest = config_.maxRoundWithoutList = config_.pace.longest;
 }
 
-double Turns::draw() {  // splitmix64
+double CallSchedule::draw() {  // splitmix64
     std::uint64_t z = state_ += 0x9e3779b97f4a7c15u;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1p-53;
 }
 
-// In steps of two: dispatchers whose beliefs differ a little have the same round.
-Nanos Turns::believed() const {
-    Nanos each = first_;
-    while (each < each_) each *= 2;
-    while (each / 2 >= each_) each /= 2;
-    return std::max<Nanos>(each * terms_.fleet, 1ms);
+// Rounds to powers of two times the initial estimate, so that dispatchers with slightly different estimates
+// use the same round.
+Nanos CallSchedule::estimatedRound() const {
+    Nanos each = initialEstimate_;
+    while (each < estimate_) each *= 2;
+    while (each / 2 >= estimate_) each /= 2;
+    return std::max<Nanos>(each * config_.fleet, 1ms);
 }
 
-Nanos Turns::round() const {
-    return std::min(believed(), longest());
+Nanos CallSchedule::round() const {
+    return std::min(estimatedRound(), longest());
 }
 
-// With a list in hand, which may be wrong by now. A silent watch is found out kSilence after its wait, which
-// is kTold - kWait - kSilence before its news count as told. After other failures there may be a call in vain
-// (kConfirm + kSilence) and half a round more before the one that is answered.
-Nanos Turns::longestAfter(Loss how) const {
+// Limits the round while there is a list, which may be outdated. A silent watch is detected kCallTimeout
+// after its wait, which is kChangeKnownWithin - kWait - kCallTimeout before the change counts as known. After
+// other failures, one more failed call (kConfirmationWait + kCallTimeout) and half a round may pass before a
+// call is answered.
+Nanos CallSchedule::maxRoundAfter(CallFailure how) const {
     if (!listed_) return longest();
-    constexpr Nanos most = (kTold - kConfirm - kSilence - kAnswer) * 2 / 3;
-    return how == Loss::silent ? std::clamp<Nanos>(terms_.drainGrace, 500ms, most) : most;
+    constexpr Nanos most = (kChangeKnownWithin - kConfirmationWait - kCallTimeout - kAnswerTime) * 2 / 3;
+    return how == CallFailure::silent ? std::clamp<Nanos>(config_.drainGrace, 500ms, most) : most;
 }
 
-Nanos Turns::wait() {
-    if (failed_ > 0) return kConfirm;
-    const Nanos most = std::clamp<Nanos>(believed() * kWatchRounds, kTold - 2s, kMostWait);
-    // Guards against a whole fleet that heard of the same change asking anew in the same moment ever after.
+Nanos CallSchedule::watchWait() {
+    if (failed_ > 0) return kConfirmationWait;
+    const Nanos most = std::clamp<Nanos>(estimatedRound() * kWatchRounds, kChangeKnownWithin - 2s, kMaxWait);
+    // Random variation: a fleet that got the same change would otherwise repeat its calls at the same moment.
     return most - Nanos(static_cast<std::int64_t>(0.25 * draw() * static_cast<double>(most.count())));
 }
 
-Nanos Turns::patience() const {
-    if (listed_) return kConfirm + kSilence;
-    return std::min<Nanos>(std::clamp<Nanos>(round(), 2s, 6s) * (1 << std::min(silent_, 2u)), 8s);
+Nanos CallSchedule::answerTimeout() const {
+    if (listed_) return kConfirmationWait + kCallTimeout;
+    return std::min<Nanos>(std::clamp<Nanos>(round(), 2s, 6s) * (1 << std::min(timedOut_, 2u)), 8s);
 }
 
-Time Turns::next(Time from, Nanos round) {
-    const Nanos slot = std::max<Nanos>(round / terms_.fleet, 1ns);
-    const Nanos mine = slot * terms_.me;
+Time CallSchedule::next(Time from, Nanos round) {
+    const Nanos slot = std::max<Nanos>(round / config_.fleet, 1ns);
+    const Nanos mine = slot * config_.me;
     Time at = from - from % round + mine +
               Nanos(static_cast<std::int64_t>(draw() * static_cast<double>(slot.count())));
     while (at < from) at += round;
     return last_ = at;
 }
 
-Time Turns::first(Time now, bool listed) {
+Time CallSchedule::firstTurn(Time now, bool listed) {
     listed_ = listed;
-    // Guards against old lists that are believed for long: what changed since is heard in this turn.
-    const Nanos most = terms_.pace.longest.count() > 0 ? longest() : longest() * 2 / 3;
+    // Limits how long an old list is used: this turn fetches what has changed since.
+    const Nanos most = config_.pace.longest.count() > 0 ? longest() : longest() * 2 / 3;
     return next(now, listed ? std::min(round(), most) : round());
 }
 
-Time Turns::later(Time now) {
-    const Nanos round = this->round();  // before there was a list
+Time CallSchedule::watchTurn(Time now) {
+    const Nanos round = this->round();  // as long as without a list
     listed_ = true;
     return next(std::max(now, last_ + round / 2), round);
 }
 
-Time Turns::after(Time now, Loss how, Time notBefore) {
-    if (failed_++ == 0) vouched_ = now;
-    if (how == Loss::busy) each_ = std::min<Nanos>(each_ * 2, first_ * kSlowest);
-    silent_ = how == Loss::silent ? silent_ + 1 : 0;
-    const Nanos bound = longestAfter(how);
+Time CallSchedule::turnAfterFailure(Time now, CallFailure how, Time notBefore) {
+    if (failed_++ == 0) confirmedAt_ = now;
+    if (how == CallFailure::busy) estimate_ = std::min<Nanos>(estimate_ * 2, initialEstimate_ * kMaxSlowdown);
+    timedOut_ = how == CallFailure::silent ? timedOut_ + 1 : 0;
+    const Nanos bound = maxRoundAfter(how);
     Nanos round = std::min(this->round(), bound);
-    // Guards against a few dispatchers that call a service which is away many times a second: their round
-    // doubles with each call that fails, up to a second.
-    const Nanos most = std::min(std::max(round, kAlone), bound);
+    // A small fleet would call an unreachable service many times a second: the round doubles with each failed
+    // call, up to a second.
+    const Nanos most = std::min(std::max(round, kMaxBackoff), bound);
     for (unsigned i = 1; i < failed_ && round < most; ++i) round = std::min(round * 2, most);
-    // Guards against advice, or a clock set back, that would carry past the moment from which news count.
-    const Time latest = std::max(now + bound / 2, vouched_ + kTold - kAnswer - bound);
+    // A Retry-After, or a clock that is set back, must not delay the call beyond kChangeKnownWithin.
+    const Time latest = std::max(now + bound / 2, confirmedAt_ + kChangeKnownWithin - kAnswerTime - bound);
     if (listed_) notBefore = std::min(notBefore, latest);
-    // Guards against a turn that was used coming again: one call a round.
+    // Limits the dispatcher to one call per round.
     return next(std::max({now, notBefore, std::min(last_ + round / 2, now + bound / 2)}), round);
 }
 
-void Turns::answered(Nanos took) {
-    heard();
-    // Downwards by a step of the first belief, and no further than what was seen.
-    const Nanos seen = std::max(took + took / 4, kLeast);
-    each_ = seen < each_ ? std::max(seen, each_ / 4) : std::max(each_ - first_ / 4, std::min(seen, first_));
+void CallSchedule::answered(Nanos took) {
+    answeredAfterWait();
+    // Lowers the estimate by at most a quarter of the initial one, and not below the measured duration.
+    const Nanos seen = std::max(took + took / 4, kMinEstimate);
+    estimate_ = seen < estimate_
+                    ? std::max(seen, estimate_ / 4)
+                    : std::max(estimate_ - initialEstimate_ / 4, std::min(seen, initialEstimate_));
 }
 
 }  // namespace amberswitch::start
--- a/src/start/turns.hpp
+++ b/src/start/turns.hpp
@@ -1,6 +1,6 @@
-// When a dispatcher calls the list service, so that hundreds that start together, or lose it together, call
-// it one after the other. They do not talk: each has its number in the fleet and the time of day, and what
-// the service shows it. No I/O, no clock of its own.
+// Schedules the calls of a dispatcher to the list service, so that hundreds of dispatchers which start
+// together, or lose the service together, call it one after the other. They don't communicate: each uses its
+// index in the fleet, the time of day and the answers of the service. No I/O; callers pass in the time.
 #pragma once
 
 #include <cstdint>
@@ -11,78 +11,80 @@
 namespace amberswitch::start {
 
 struct Pace {
-    double callsPerSecond = 25;  // of the service, for the whole fleet, until it shows otherwise
-    Nanos longest{0};            // a round of the fleet's turns takes no longer; 0: by the settings
-    std::string keepFile;        // the last list, for the next start; empty: none is kept
+    double callsPerSecond = 25;  // capacity of the service for the whole fleet, until measured
+    Nanos longest{0};            // upper limit of a round of the fleet; 0: derived from the settings
+    std::string keepFile;        // stores the last list for the next start; empty: disabled
     Nanos keepAge = std::chrono::hours(1);
-    Nanos waitForList{0};  // with a known or a kept list in hand: how long a start waits for a new one
+    Nanos waitForList{0};  // how long a start with an old list waits for a new one
 };
 Pace readPace(const settings::Node& section);  // throws settings::BadField
 
 // How a call failed.
-enum class Loss {
+enum class CallFailure {
     refused,  // no connection, or it broke
-    silent,   // nothing came in time
-    busy      // turned away with an answer
+    silent,   // timed out
+    busy      // rejected by an answer of the service
 };
 
-// A round is the fleet's size times what one call is believed to take. In each round, counted from the epoch,
-// a dispatcher has one turn: the part that its number says, at a random place inside it. Where clocks differ
-// the turns are as good as random ones, and no worse.
-class Turns {
+// The length of a round is the size of the fleet times the estimated duration of a call. In each round,
+// counted from the epoch, a dispatcher has one turn: a random point in the slot of its index. If clocks
+// differ, the turns are spread like random ones, and no worse.
+class CallSchedule {
 public:
-    struct Terms {
+    struct Config {
         std::uint32_t fleet = 1, me = 0;
         Pace pace;
-        // The longest round where `pace` does not say: with a list in hand, which is to be kept up to date,
-        // and without, where there is nothing to be wrong with.
-        Nanos longest = std::chrono::seconds(5), longestWithout = std::chrono::seconds(10);
-        Nanos drainGrace = std::chrono::seconds(2);  // of the rule on drains
+        // The longest round unless `pace` sets it: with a list, which must be kept up to date, and without
+        // one, where nothing can be outdated.
+        Nanos longest = std::chrono::seconds(5), maxRoundWithoutList = std::chrono::seconds(10);
+        Nanos drainGrace = std::chrono::seconds(2);  // the time within which a drain must be applied
     };
-    Turns(const Terms& terms, std::uint64_t seed);
+    CallSchedule(const Config& config, std::uint64_t seed);
 
-    Time first(Time now, bool listed);  // of the start: the next turn
-    // With a whole list in hand, when the watch is to begin: the same turn of the next round. Guards against
-    // two calls of each dispatcher in one round, the list's and the watch's.
-    Time later(Time now);
-    // After a call that failed: the next turn, and not before `notBefore`, the service's own word.
-    Time after(Time now, Loss how, Time notBefore);
-    // A call that needed no wait there was answered after so long. It says what a call takes at the most.
+    Time firstTurn(Time now, bool listed);  // returns the turn of the first call
+    // Returns when the watch starts after a full list was received: the same turn of the next round, so that
+    // each dispatcher doesn't make two calls in one round, for the list and for the watch.
+    Time watchTurn(Time now);
+    // Returns the next turn after a failed call. `notBefore` is the retry time that the service gave.
+    Time turnAfterFailure(Time now, CallFailure how, Time notBefore);
+    // Reports the duration of a call that didn't wait for a change; it is an upper bound of the cost of a
+    // call.
     void answered(Nanos took);
-    void heard() { failed_ = silent_ = 0; }  // a call that waited there was answered
+    void answeredAfterWait() { failed_ = timedOut_ = 0; }  // a call that waited for a change was answered
 
-    Nanos round() const;  // how long a round is now
-    // With a call that is to be answered at once: others may stand before it. Longer after each that was in
-    // vain, as a service that is behind works through calls that nobody waits for any more.
-    Nanos patience() const;
-    // How long a call may wait there for something new. Its answer shows that the watch lives: where the
-    // service can bear it, often enough for the clock below, and soon after a call that failed.
-    Nanos wait();
-    // What the service has counts as told so long after it had it and could be reached, whatever became of
-    // the calls meanwhile.
-    static constexpr Nanos kTold = std::chrono::seconds(6);
-    static constexpr Nanos kSilence = std::chrono::seconds(1);  // beyond a call's wait: then it is silent
+    Nanos round() const;  // current length of a round
+    // Returns the timeout of a call without a wait, which may queue behind others. It grows with each
+    // timed-out call, since an overloaded service still processes calls whose callers have given up.
+    Nanos answerTimeout() const;
+    // Returns how long a call may wait at the service for a change. Its answer confirms that the watch works:
+    // often enough for kChangeKnownWithin if the load on the service permits it, and soon after a failed
+    // call.
+    Nanos watchWait();
+    // The time after which a change counts as known to the dispatcher: since the service has it and is
+    // reachable, whatever the result of the calls in between.
+    static constexpr Nanos kChangeKnownWithin = std::chrono::seconds(6);
+    static constexpr Nanos kCallTimeout = std::chrono::seconds(1);  // timeout beyond the wait of a call
 
 private:
-    static constexpr Nanos kLeast = std::chrono::milliseconds(2);
-    static constexpr int kSlowest = 4;  // of the first belief: where that is not enough the service says when
-    static constexpr Nanos kAlone = std::chrono::seconds(1);    // a small fleet's failed calls, in the end
-    static constexpr Nanos kAnswer = std::chrono::seconds(1);   // that an answer may take
-    static constexpr Nanos kConfirm = std::chrono::seconds(1);  // the wait of the first call after a loss
-    static constexpr Nanos kMostWait = std::chrono::seconds(20);
-    static constexpr int kWatchRounds = 4;  // watches take a quarter of the service's time at the most
-    Nanos longest() const { return listed_ ? terms_.longest : terms_.longestWithout; }
-    Nanos longestAfter(Loss how) const;
-    Nanos believed() const;  // a round by what a call takes alone
+    static constexpr Nanos kMinEstimate = std::chrono::milliseconds(2);
+    static constexpr int kMaxSlowdown = 4;  // times the first estimate; beyond that, Retry-After applies
+    static constexpr Nanos kMaxBackoff = std::chrono::seconds(1);        // longest back-off of a small fleet
+    static constexpr Nanos kAnswerTime = std::chrono::seconds(1);        // duration of an answer
+    static constexpr Nanos kConfirmationWait = std::chrono::seconds(1);  // first call after a failure
+    static constexpr Nanos kMaxWait = std::chrono::seconds(20);
+    static constexpr int kWatchRounds = 4;  // watches use at most a quarter of the capacity of the service
+    Nanos longest() const { return listed_ ? config_.longest : config_.maxRoundWithoutList; }
+    Nanos maxRoundAfter(CallFailure how) const;
+    Nanos estimatedRound() const;  // length of a round by the estimate, without the upper limit
     Time next(Time from, Nanos round);
     double draw();
 
-    Terms terms_;
-    Nanos first_, each_;  // what a call is believed to take: in the beginning, and now
+    Config config_;
+    Nanos initialEstimate_, estimate_;  // estimated duration of a call: initial and current
     bool listed_ = false;
-    unsigned failed_ = 0, silent_ = 0;  // calls in a row
-    Time last_{-1};                     // the turn that was given last
-    Time vouched_{0};                   // when the list was last known to be up to date, before it was lost
+    unsigned failed_ = 0, timedOut_ = 0;  // consecutive calls
+    Time last_{-1};                       // the last turn returned
+    Time confirmedAt_{0};                 // when the list was last known to be up to date
     std::uint64_t state_;
 };
 
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -1,8 +1,9 @@
-// What is kept on disk between two starts, so that one needn't begin with nothing: one file for one thing.
-// Only where the operator names it; the platform has no disk that lasts.
+// State that is kept on disk between starts, one file for each kind. It is used only if the operator names a
+// file, since the platform has no persistent disk.
 //
-// The file: eight bytes of mark, the XXH64 of the rest (little-endian), the site, the time, and the body. It
-// is written beside its place and renamed, so a reader finds the old one or the new one, whole.
+// Format: eight bytes of magic number, the XXH64 of the rest (little-endian), the site, the time, and the
+// body. The file is written under a temporary name and renamed, so a reader finds either the old or the new
+// one, complete.
 #pragma once
 
 #include <functional>
@@ -17,38 +18,39 @@
 using heronmount::Nanos;
 using heronmount::Time;
 
-constexpr std::size_t kMostKept = 16 * 1024 * 1024;  // bytes of a file
+constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024;  // bytes of a file
 
-struct Sealed {
-    std::uint64_t site = 0;  // what is kept means nothing at another site
+struct StoredState {
+    std::uint64_t site = 0;  // the file is valid only at the same site
     Time at{0};              // Unix time
     std::string body;
-    bool operator==(const Sealed&) const = default;
+    bool operator==(const StoredState&) const = default;
 };
-std::string seal(std::string_view mark, const Sealed& sealed);
-// None, and `fault` says why, if the bytes are not a whole file of this kind.
-std::optional<Sealed> unseal(std::string_view mark, std::string_view bytes, std::string& fault);
+std::string encodeState(std::string_view magic, const StoredState& state);
+// Returns nothing and sets `fault` to the reason if the bytes are not a complete file of this kind.
+std::optional<StoredState> decodeState(std::string_view magic, std::string_view bytes, std::string& fault);
 
-struct KeepConfig {
-    std::string file;  // empty: nothing is kept
-    Nanos mostAge = std::chrono::hours(1);
+struct StateFileConfig {
+    std::string file;  // empty: disabled
+    Nanos maxAge = std::chrono::hours(1);
 };
 
-class Keeper {
+class StateFile {
 public:
-    using Say = std::function<void(const std::string&)>;  // a line for the log
-    // `what` names it in lines, as "view" in "the kept view is left aside".
-    Keeper(KeepConfig config, std::string_view mark, std::uint64_t site, std::string what, Say say)
+    using Log = std::function<void(const std::string&)>;  // a line for the log
+    // `what` names the state in log lines, as "view" in "the kept view is left aside".
+    StateFile(StateFileConfig config, std::string_view magic, std::uint64_t site, std::string what, Log log)
         : config_(std::move(config)),
-          mark_(mark),
+          magic_(magic),
           site_(site),
           what_(std::move(what)),
-          say_(std::move(say)) {}
+          log_(std::move(log)) {}
 
     bool on() const { return !config_.file.empty(); }
-    // What was kept, unless it is torn, foreign, too old or from the future; then a line says which.
-    std::optional<Sealed> load(Time now);
-    void refuse(const std::string& why);  // what was loaded can't be used
+    // Returns the stored state. Logs the reason and returns nothing if it is torn, of another site, too old
+    // or from the future. Returns nothing without a log line if there is no file.
+    std::optional<StoredState> load(Time now);
+    void refuse(const std::string& why);  // logs that the loaded state is unusable
     void save(Time now, std::string body);
 
     struct Counters {
@@ -57,13 +59,13 @@
     const Counters& counters() const { return counters_; }
 
 private:
-    KeepConfig config_;
-    std::string mark_;
+    StateFileConfig config_;
+    std::string magic_;
     std::uint64_t site_;
     std::string what_;
-    Say say_;
+    Log log_;
     Counters counters_;
-    bool told_ = false;  // that it can't be written
+    bool failureLogged_ = false;  // a failure to write was logged
 };
 
 }  // namespace amberswitch::store
--- a/src/takeover/link.cpp
+++ b/src/takeover/link.cpp
@@ -28,7 +28,7 @@
 
 Link::Link(Deadlines& deadlines, Time now, std::string name, Events events)
     : deadlines_(deadlines), name_(std::move(name)), events_(std::move(events)) {
-    hello_.arm(deadlines_, now + kHello, [this](Time at) { finish(at, Fault::silent); });
+    handshakeTimer_.arm(deadlines_, now + kHandshakeTimeout, [this](Time at) { finish(at, Fault::silent); });
     told::Frame frame;
     frame.mutable_hello()->set_version(kVersion);
     frame.mutable_hello()->set_name(name_);
@@ -50,39 +50,40 @@
     wake();
 }
 
-void Link::tellFarm(std::string list, const std::vector<std::string>& ids) {
+void Link::sendRoster(std::string list, const std::vector<std::string>& ids) {
     told::Frame frame;
     auto& farm = *frame.mutable_farm();
-    // Guards against a list that the other side would take for garbage: without it, it begins cold.
-    if (list.size() < kMostFrame / 2) farm.set_list(std::move(list));
+    // The peer rejects frames over the limit. Without the list it starts cold.
+    if (list.size() < kMaxFrameBytes / 2) farm.set_list(std::move(list));
     std::size_t bytes = 0;
     for (const std::string& id : ids)
-        if ((bytes += id.size() + 8) < kMostFrame / 4) farm.add_ids(id);
+        if ((bytes += id.size() + 8) < kMaxFrameBytes / 4) farm.add_ids(id);
     put(frame);
 }
 
-void Link::tellServing() {
+void Link::sendServing() {
     told::Frame frame;
     frame.mutable_serving();
     put(frame);
 }
 
-void Link::tellUsage(std::size_t descriptors) {
+void Link::sendUsage(std::size_t descriptors) {
     told::Frame frame;
     frame.mutable_usage()->set_descriptors(static_cast<std::uint32_t>(descriptors));
     put(frame);
 }
 
-void Link::ask(Time now, const std::string& body, std::uint32_t hops, Said said) {
-    // Guards against a peer that takes calls and never says what became of them.
-    if (over_ || asked_.size() >= kMostAsked || out().size() > kMostOwed) return said(now, Word::unknown);
-    const std::uint64_t number = ++lastAsked_;
-    Asked& asked = asked_[number];
-    asked.said = std::move(said);
-    asked.due.arm(deadlines_, now + kWord, [this, number](Time at) {
-        const Said late = std::move(asked_.at(number).said);
-        asked_.erase(number);
-        late(at, Word::unknown);
+void Link::ask(Time now, const std::string& body, std::uint32_t hops, Reply reply) {
+    // Limits the calls to a peer that never answers.
+    if (over_ || pending_.size() >= kMaxPendingCallbacks || out().size() > kMaxUnsentBytes)
+        return reply(now, CallbackResult::unknown);
+    const std::uint64_t number = ++lastNumber_;
+    PendingCallback& asked = pending_[number];
+    asked.reply = std::move(reply);
+    asked.due.arm(deadlines_, now + kAnswerTimeout, [this, number](Time at) {
+        const Reply late = std::move(pending_.at(number).reply);
+        pending_.erase(number);
+        late(at, CallbackResult::unknown);
     });
     told::Frame frame;
     auto& call = *frame.mutable_callback();
@@ -101,30 +102,30 @@
         in().taken(part);
         if (frame_.size() < kLength) continue;
         const std::size_t length = lengthOf(std::string_view(frame_).substr(0, kLength));
-        if (length == 0 || length > kMostFrame) return finish(now, Fault::garbled);
+        if (length == 0 || length > kMaxFrameBytes) return finish(now, Fault::garbled);
         if (frame_.size() < kLength + length) continue;
         const std::string body = std::exchange(frame_, {}).substr(kLength);
         take(now, body);
     }
-    if (!over_) wake();  // there is room to read again
+    if (!over_) wake();  // there is space for input again
 }
 
 void Link::take(Time now, std::string_view bytes) {
     told::Frame frame;
     if (!frame.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return finish(now, Fault::garbled);
-    if (!met_) {
+    if (!handshakeDone_) {
         if (!frame.has_hello()) return finish(now, Fault::garbled);
         if (frame.hello().version() != kVersion) return finish(now, Fault::version);
         if (frame.hello().name() != name_) return finish(now, Fault::stranger);
-        met_ = true;
-        hello_.disarm();
+        handshakeDone_ = true;
+        handshakeTimer_.disarm();
         return events_.met(now);
     }
     switch (frame.what_case()) {
         case told::Frame::kFarm: {
             std::vector<std::string> ids(frame.farm().ids().begin(), frame.farm().ids().end());
-            return events_.farm(now, frame.farm().list(), std::move(ids));
+            return events_.roster(now, frame.farm().list(), std::move(ids));
         }
         case told::Frame::kServing:
             return events_.serving(now);
@@ -134,41 +135,43 @@
         case told::Frame::kCallback: {
             const std::uint64_t number = frame.callback().number();
             return events_.callback(now, frame.callback().body(), frame.callback().hops(),
-                                    [link = weak_from_this(), number](Time, Word word) {
+                                    [link = weak_from_this(), number](Time, CallbackResult word) {
                                         const auto self = link.lock();
-                                        if (!self || word == Word::unknown)
-                                            return;  // its wait ends by itself
+                                        if (!self || word == CallbackResult::unknown)
+                                            return;  // the peer times out
                                         told::Frame answer;
                                         answer.mutable_taken()->set_number(number);
-                                        answer.mutable_taken()->set_owned(word == Word::owned);
+                                        answer.mutable_taken()->set_owned(word == CallbackResult::owned);
                                         self->put(answer);
                                     });
         }
         case told::Frame::kTaken: {
-            const auto at = asked_.find(frame.taken().number());
-            if (at == asked_.end()) return;  // it came too late
-            const Said said = std::move(at->second.said);
-            asked_.erase(at);
-            return said(now, frame.taken().owned() ? Word::owned : Word::nobodys);
+            const auto at = pending_.find(frame.taken().number());
+            if (at == pending_.end()) return;  // the call has timed out
+            const Reply reply = std::move(at->second.reply);
+            pending_.erase(at);
+            return reply(now, frame.taken().owned() ? CallbackResult::owned : CallbackResult::unowned);
         }
         case told::Frame::kHello:
         case told::Frame::WHAT_NOT_SET:
-            break;  // of a later form of this version: nothing that need be understood
+            break;  // an unknown frame of a later revision is ignored
     }
 }
 
 void Link::ended(Time now, End) {
-    finish(now, met_ ? Fault::gone : Fault::silent);
+    finish(now, handshakeDone_ ? Fault::gone : Fault::silent);
 }
 
-// Who waits for a word hears that nobody has the job: its owner is gone.
+// If the peer is gone, pending callbacks are answered as unowned, since the owner of the job no longer
+// exists.
 void Link::finish(Time now, Fault why) {
     if (std::exchange(over_, true)) return;
-    hello_.disarm();
+    handshakeTimer_.disarm();
     drop();
-    auto asked = std::exchange(asked_, {});
+    auto asked = std::exchange(pending_, {});
     for (auto& [number, one] : asked) one.due.disarm();
-    for (auto& [number, one] : asked) one.said(now, why == Fault::gone ? Word::nobodys : Word::unknown);
+    for (auto& [number, one] : asked)
+        one.reply(now, why == Fault::gone ? CallbackResult::unowned : CallbackResult::unknown);
     events_.ended(now, why);
 }
 
--- a/src/takeover/link.hpp
+++ b/src/takeover/link.hpp
@@ -1,5 +1,6 @@
-// One connection between the old and the new process of a dispatcher: frames in and out, as a machine that
-// knows no socket. Whatever is not the protocol ends it; nothing it carries can harm this process.
+// The protocol between the old and the new process of a dispatcher: length-prefixed protobuf frames. Like
+// other machines it knows no socket. A protocol violation ends the link; invalid input can't harm this
+// process.
 #pragma once
 
 #include <functional>
@@ -10,41 +11,41 @@
 
 namespace amberswitch::takeover {
 
-// Why a link could not be had, or ended.
+// Why a link could not be established, or why it ended.
 enum class Fault { none, gone, silent, garbled, version, stranger };
 const char* nameOf(Fault fault);
 
 class Link : public wire::Machine, public std::enable_shared_from_this<Link> {
 public:
     static constexpr std::uint32_t kVersion = 1;
-    static constexpr std::size_t kMostFrame = 4 * 1024 * 1024;      // as large as a list may be
-    static constexpr std::size_t kMostOwed = 1024 * 1024;           // bytes of calls that it has not taken
-    static constexpr std::size_t kMostAsked = 4096;                 // callbacks that wait for its word
-    static constexpr Nanos kHello = std::chrono::seconds(1);        // to say who it is
-    static constexpr Nanos kWord = std::chrono::milliseconds(800);  // to say what became of a callback
+    static constexpr std::size_t kMaxFrameBytes = 4 * 1024 * 1024;          // the size limit of a list
+    static constexpr std::size_t kMaxUnsentBytes = 1024 * 1024;             // unsent output in bytes
+    static constexpr std::size_t kMaxPendingCallbacks = 4096;               // callbacks without an answer yet
+    static constexpr Nanos kHandshakeTimeout = std::chrono::seconds(1);     // timeout of the handshake
+    static constexpr Nanos kAnswerTimeout = std::chrono::milliseconds(800); // for the answer to a callback
 
-    enum class Word { owned, nobodys, unknown };  // unknown: no word came in time
-    using Said = std::function<void(Time, Word)>;
+    enum class CallbackResult { owned, unowned, unknown };  // unknown: no answer in time
+    using Reply = std::function<void(Time, CallbackResult)>;
 
-    // Who the link is for. All are called from within the machine; `ended` is the last call.
+    // The callbacks of the link's owner, called from within the machine. `ended` is the last call.
     struct Events {
-        std::function<void(Time)> met;  // the other side is who it should be
-        std::function<void(Time, std::string_view list, std::vector<std::string> ids)> farm;
+        std::function<void(Time)> met;  // the handshake is complete
+        std::function<void(Time, std::string_view list, std::vector<std::string> ids)> roster;
         std::function<void(Time)> serving;
-        // A call for a job of the other side's knowledge; `said` is to be called once, at any time.
-        std::function<void(Time, std::string body, std::uint32_t hops, Said said)> callback;
+        // The peer forwards a callback; `reply` must be called once, at any time.
+        std::function<void(Time, std::string body, std::uint32_t hops, Reply reply)> callback;
         std::function<void(Time, Fault)> ended;
     };
 
     Link(Deadlines& deadlines, Time now, std::string name, Events events);
 
-    bool met() const { return met_; }
-    bool reached() const { return reached_; }                 // there was somebody at the other end
-    std::size_t descriptors() const { return descriptors_; }  // that the other side holds
-    void tellFarm(std::string list, const std::vector<std::string>& ids);
-    void tellServing();
-    void tellUsage(std::size_t descriptors);
-    void ask(Time now, const std::string& body, std::uint32_t hops, Said said);
+    bool met() const { return handshakeDone_; }
+    bool reached() const { return reached_; }                 // the connection was established
+    std::size_t descriptors() const { return descriptors_; }  // held by the other process
+    void sendRoster(std::string list, const std::vector<std::string>& ids);
+    void sendServing();
+    void sendUsage(std::size_t descriptors);
+    void ask(Time now, const std::string& body, std::uint32_t hops, Reply reply);
     void close(Time now, Fault why = Fault::gone) { finish(now, why); }
 
     void opened(Time now) override;
@@ -53,9 +54,9 @@
     bool finished() const override { return false; }
 
 private:
-    struct Asked {
-        Said said;
-        Deadlines::Ticket due;
+    struct PendingCallback {
+        Reply reply;
+        Deadlines::Timer due;
     };
 
     template <class Frame>
@@ -66,12 +67,12 @@
     Deadlines& deadlines_;
     const std::string name_;
     Events events_;
-    Deadlines::Ticket hello_;
-    std::string frame_;  // what has come of one that is not whole
-    std::unordered_map<std::uint64_t, Asked> asked_;
-    std::uint64_t lastAsked_ = 0;
+    Deadlines::Timer handshakeTimer_;
+    std::string frame_;  // an incomplete frame
+    std::unordered_map<std::uint64_t, PendingCallback> pending_;
+    std::uint64_t lastNumber_ = 0;
     std::size_t descriptors_ = 0;
-    bool met_ = false, reached_ = false, over_ = false;
+    bool handshakeDone_ = false, reached_ = false, over_ = false;
 };
 
 }  // namespace amberswitch::takeover
--- a/src/wire/machine.hpp
+++ b/src/wire/machine.hpp
@@ -1,5 +1,5 @@
-// A protocol's side of one connection: a state machine that is fed bytes and knows no socket. A driver reads
-// and writes for it.
+// The protocol state machine of one connection. It handles bytes and doesn't know sockets; a driver reads and
+// writes for it.
 #pragma once
 
 #include <memory>
@@ -15,16 +15,16 @@
 class Driver {
 public:
     virtual ~Driver() = default;
-    virtual void wake() = 0;  // there is something to write, or room to read again, or it has finished
-    virtual void drop() = 0;  // close at once; the machine hears nothing more
-    virtual bool unread() const { return false; }  // bytes have come that the machine was not given yet
-    // The other side has closed its end, or broken the connection, whether or not that was read yet.
+    virtual void wake() = 0;  // there is output, or space for input again, or the machine has finished
+    virtual void drop() = 0;  // closes immediately; the machine is not called any more
+    virtual bool unread() const { return false; }  // received bytes are not passed to the machine yet
+    // Whether the peer has closed or reset the connection, even if that has not been read yet.
     virtual bool peerGone() { return false; }
 };
 
 class Machine;
 
-// Makes connections for those who know addresses but no sockets.
+// Opens connections for code that knows addresses but no sockets.
 class Connector {
 public:
     virtual ~Connector() = default;
@@ -35,11 +35,11 @@
 public:
     virtual ~Machine() = default;
 
-    virtual void opened(Time) {}                // a connection this side asked for is up
+    virtual void opened(Time) {}                // an outgoing connection is established
     virtual void received(Time now) = 0;        // bytes were added to in()
     virtual void sent(Time) {}                  // bytes were taken from out()
-    virtual void ended(Time now, End how) = 0;  // the connection is gone; the last call
-    virtual bool finished() const = 0;          // to be closed once out() is empty
+    virtual void ended(Time now, End how) = 0;  // the connection has ended; the last call
+    virtual bool finished() const = 0;          // the driver closes once out() is empty
 
     Ring& in() { return in_; }
     Outbox& out() { return out_; }
--- a/src/wire/ring.hpp
+++ b/src/wire/ring.hpp
@@ -1,5 +1,5 @@
-// One ring buffer for one direction of a connection. Small, so that a thousand connections stay cheap: what
-// is larger than the ring is moved out of it as it is parsed, or into it as it is written.
+// A ring buffer for one direction of a connection. It is small, so that a thousand connections need little
+// memory. Larger messages are moved out of it while they are parsed, or into it while they are written.
 #pragma once
 
 #include <algorithm>
@@ -19,17 +19,17 @@
     bool empty() const { return used_ == 0; }
     std::size_t size() const { return used_; }
 
-    std::span<char> space() {  // the longest free run
+    std::span<char> space() {  // the longest contiguous free space
         const std::size_t tail = (head_ + used_) % kSize;
         return {bytes_.data() + tail, std::min(kSize - used_, kSize - tail)};
     }
     void filled(std::size_t n) { used_ += n; }
-    std::span<const char> front() const {  // the longest run to take
+    std::span<const char> front() const {  // the longest contiguous data
         return {bytes_.data() + head_, std::min(used_, kSize - head_)};
     }
     void taken(std::size_t n) {
         used_ -= n;
-        head_ = used_ == 0 ? 0 : (head_ + n) % kSize;  // an empty ring starts over: runs stay long
+        head_ = used_ == 0 ? 0 : (head_ + n) % kSize;  // restarts at 0 when empty, for long contiguous runs
     }
     std::size_t put(std::string_view bytes) {  // as much as fits
         std::size_t done = 0;
@@ -47,25 +47,25 @@
     std::size_t head_ = 0, used_ = 0;
 };
 
-// The outgoing direction: the ring, and what waits to go through it.
+// The output of a connection: the ring, and a queue of bytes that do not fit into it yet.
 class Outbox {
 public:
     void put(std::string_view bytes) {
         const std::size_t now = waiting_.empty() ? ring_.put(bytes) : 0;
         waiting_.append(bytes.substr(now));
     }
-    std::span<const char> pending() {  // for the driver, which writes them from now on
+    std::span<const char> pending() {  // bytes that the driver starts to write
         lent_ = ring_.front().size();
         return ring_.front();
     }
-    // Bytes that the driver was given and has not confirmed: the other side may have them already.
+    // Bytes that the driver has got and not confirmed; the peer may have received them.
     std::size_t lent() const { return lent_; }
     void sent(std::size_t n) {
         lent_ = 0;
         ring_.taken(n);
         at_ += ring_.put(std::string_view(waiting_).substr(at_));
         if (at_ == waiting_.size()) waiting_ = {}, at_ = 0;
-        // Guards against a stream of puts that never lets it run empty: what has gone is cut off.
+        // Removes sent bytes even if the queue never becomes empty under continuous output.
         if (at_ >= 8 * Ring::kSize && 2 * at_ >= waiting_.size()) waiting_.erase(0, at_), at_ = 0;
     }
     bool empty() const { return ring_.empty(); }
--- a/tests/consul_test.cpp
+++ b/tests/consul_test.cpp
@@ -105,7 +105,7 @@
     agent.set(7, "[" + healthy("a", "passing") + "," + healthy("b", "critical") + "," +
                      healthy("c", "warning", "") + "]");
     Consul consul(core, servers, loop.deadlines(), *this, config());
-    core.addFarmSource(consul);
+    core.addRosterSource(consul);
     consul.watch(now);
     ASSERT_TRUE(until([&] { return on("a"); }));
     EXPECT_FALSE(on("b"));  // critical: nothing new
@@ -124,10 +124,10 @@
     now += 100ms;
     ASSERT_TRUE(until([&] { return agent.targets.size() == 4; }));
     EXPECT_EQ(agent.targets[3].find("index="), std::string::npos);  // it went back: from the start
-    const auto updates = core.counters().farmUpdates;
+    const auto updates = core.counters().rosterUpdates;
     agent.set(9, "[" + healthy("a", "passing") + "]");  // an index that moved and nothing else
     ASSERT_TRUE(until([&] { return consul.view().counters().answers == 4; }));
-    EXPECT_EQ(core.counters().farmUpdates, updates) << "only changes go on";
+    EXPECT_EQ(core.counters().rosterUpdates, updates) << "only changes go on";
 }
 
 // A start where Consul is away begins with the kept view, as stale; the first answer replaces it.
@@ -160,7 +160,7 @@
 TEST_F(ConsulTest, AFlapperIsHeldDown) {
     agent.set(1, "[" + healthy("a", "passing") + "]");
     Consul consul(core, servers, loop.deadlines(), *this, config());
-    core.addFarmSource(consul);
+    core.addRosterSource(consul);
     consul.watch(now);
     ASSERT_TRUE(until([&] { return on("a"); }));
     std::uint64_t index = 1, answers = 1;
@@ -199,20 +199,20 @@
 TEST_F(ConsulTest, AFailureIsToldAndTheOldListHolds) {
     agent.set(7, "[" + healthy("a", "passing") + "]");
     Consul consul(core, servers, loop.deadlines(), *this, config());
-    core.addFarmSource(consul);
+    core.addRosterSource(consul);
     consul.watch(now);
     ASSERT_TRUE(until([&] { return on("a"); }));
     now += 100ms;
     ASSERT_TRUE(until([&] { return agent.targets.size() == 2; }));
     agent.breakOff();
-    ASSERT_TRUE(until([&] { return core.counters().farmLost == 1; }));
+    ASSERT_TRUE(until([&] { return core.counters().rosterLosses == 1; }));
     EXPECT_TRUE(on("a"));
     EXPECT_FALSE(consul.running());
     for (int i = 0; i < 100 && !consul.running(); ++i) now += 100ms, loop.poll();
     EXPECT_TRUE(consul.running());
     agent.status = 500;
     agent.set(9, "no list");
-    ASSERT_TRUE(until([&] { return core.counters().farmLost == 2; }));
+    ASSERT_TRUE(until([&] { return core.counters().rosterLosses == 2; }));
     EXPECT_TRUE(on("a"));
 }
 
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,4 +1,5 @@
-// The core and the platform's parts without sockets: stand-ins note what they are asked to do.
+// Tests of the core, the HTTP server pool and the HTTP front without sockets. Fakes record the calls they
+// get.
 #include "core/core.hpp"
 
 #include <gtest/gtest.h>
@@ -47,7 +48,7 @@
     Nanos advice{0};
 };
 
-struct Fleet : ApplicationServers, FarmSource {
+struct Fleet : ApplicationServers, RosterSource {
     void start(Time, const ProxyPass& pass) override { started.push_back(pass); }
     void abandon(Time, const ProxyPass& pass) override { abandoned.push_back(pass); }
     void closeIdle(Time, Worker) override {}
@@ -55,8 +56,8 @@
     std::vector<ProxyPass> started, abandoned;
 };
 
-FarmEntry entry(const std::string& name, WorkerStatus standing = WorkerStatus::on) {
-    FarmEntry e;
+RosterServer entry(const std::string& name, WorkerStatus standing = WorkerStatus::on) {
+    RosterServer e;
     e.name = name;
     e.entry.status = standing;
     e.entry.cell = static_cast<int>(settings::fingerprint(name) % 1000);
@@ -83,7 +84,7 @@
 };
 
 TEST_F(CoreTest, AnswersOnceHoweverOftenAPassEnds) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(0);
     ASSERT_EQ(fleet.started.size(), 1u);
     core.passEnded(now, id, 0, End::served, "r");
@@ -93,12 +94,12 @@
     pass(9s);
     EXPECT_EQ(client->answers, 1);
     EXPECT_EQ(client->last, "served r");
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.openTransactions(), 0u);
 }
 
-// Guards against a log that grows with the load, and against one that costs something while it is off.
+// The trace is limited per second and writes nothing while it is off.
 TEST_F(CoreTest, TracesEachStepWithinItsBound) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     ask(0);
     std::vector<std::string> lines;
     core.trace().open([&](const std::string& line) { lines.push_back(line); }, 4);
@@ -120,7 +121,7 @@
 }
 
 TEST_F(CoreTest, AnswersBeforeTheClientGivesUp) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1, 3s);
     pass(3s);
     EXPECT_EQ(client->answers, 1);
@@ -128,7 +129,7 @@
     ASSERT_EQ(fleet.abandoned.size(), 1u);
 }
 
-// A refusal is given at once and says when to come again; it is never held back.
+// A refusal is answered immediately and includes a retry delay.
 TEST_F(CoreTest, AnUnavailableAnswerComesWithAdvice) {
     const auto client = ask(0, 1s);
     pass(1s);
@@ -136,9 +137,10 @@
     EXPECT_GT(client->advice, 0ms);
 }
 
-// Guards against clients that learn of the process's end by a reset: who may come again is told so.
+// At shutdown clients get an answer instead of a connection reset; those that may retry get an unavailable
+// one.
 TEST_F(CoreTest, AnswersAllThatIsOpenWhenTheProcessEnds) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto safe = ask(0), keyed = ask(1);
     core.giveUpAll(now);
     core.giveUpAll(now);
@@ -147,11 +149,11 @@
     EXPECT_EQ(keyed->last, "failed ");  // it may have run
     EXPECT_EQ(safe->answers + keyed->answers, 2);
     EXPECT_EQ(fleet.abandoned.size(), 2u);
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.openTransactions(), 0u);
 }
 
 TEST_F(CoreTest, GivesTheReasonOfTheLastFailure) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1);
     core.passEnded(now, id, 0, End::failed, "no driver");
     for (std::size_t n = 1; n < fleet.started.size(); ++n)
@@ -160,19 +162,19 @@
 }
 
 TEST_F(CoreTest, SendsNothingToAServerThatDrainsOrIsGone) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a"), entry("b")});
-    core.farm(now, fleet, fleet, RosterMode::incremental, {entry("a", WorkerStatus::draining)});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a"), entry("b")});
+    core.updateRoster(now, fleet, fleet, RosterMode::incremental, {entry("a", WorkerStatus::draining)});
     for (int i = 0; i < 10; ++i) ask(0), core.passEnded(now, id, 0, End::served, "");
     for (const ProxyPass& one : fleet.started) EXPECT_EQ(one.server, core.handleOf("b"));
     EXPECT_FALSE(core.accepts(core.handleOf("a")));
 }
 
-// Guards against one source's whole list wiping out what another source told.
+// Guards against a full list of one source removing the servers of another source.
 TEST_F(CoreTest, AWholeListReplacesItsOwnSourceOnly) {
     Fleet other;
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
-    core.farm(now, other, other, RosterMode::incremental, {entry("w")});
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("b")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, other, other, RosterMode::incremental, {entry("w")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("b")});
     EXPECT_FALSE(core.accepts(core.handleOf("a")));
     EXPECT_TRUE(core.accepts(core.handleOf("b")));
     EXPECT_TRUE(core.accepts(core.handleOf("w")));
@@ -183,14 +185,14 @@
 TEST_F(CoreTest, AServerThatNamesItsClassesGetsNoOther) {
     auto only = entry("w");
     only.entry.classMask = 1;  // car-match
-    core.farm(now, fleet, fleet, RosterMode::full, {only});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {only});
     ask(1);
     EXPECT_TRUE(fleet.started.empty());
     ask(0);
     EXPECT_EQ(fleet.started.size(), 1u);
 }
 
-// Guards against a second copy where none is allowed: a server that was told to give a job up may hear it
+// Guards against a second copy of a job where duplicates are not allowed: a cancellation may reach the server
 // late, or never.
 TEST_F(CoreTest, NothingIsSentAgainAfterACallOffWhereCopiesAreNotAllowed) {
     for (const bool copies : {false, true}) {
@@ -199,20 +201,20 @@
         Deadlines due;
         Core own(strict, 5, due);
         Fleet servers;
-        own.farm(now, servers, servers, RosterMode::full, {entry("a"), entry("b"), entry("c")});
+        own.updateRoster(now, servers, servers, RosterMode::full, {entry("a"), entry("b"), entry("c")});
         Arrival arrival;
         arrival.request.klass = 0, arrival.request.timeLeft = 8s;
         arrival.client = std::make_shared<Client>();
         const TransactionId job = own.arrive(now, std::move(arrival));
         own.passStarted(now, job, 0);
-        for (const Time end = now + 7s; now < end; now += 10ms) due.sweep(now);  // and no further sign of it
+        for (const Time end = now + 7s; now < end; now += 10ms) due.sweep(now);  // no more progress
         EXPECT_EQ(servers.started.size() > 1, copies);
         EXPECT_TRUE(copies || servers.abandoned.empty());
     }
 }
 
 TEST_F(CoreTest, ALeavingClientCallsItsPassesOff) {
-    core.farm(now, fleet, fleet, RosterMode::full, {entry("a")});
+    core.updateRoster(now, fleet, fleet, RosterMode::full, {entry("a")});
     const auto client = ask(1);
     core.clientLeft(now, id);
     core.clientLeft(now, id);
@@ -222,7 +224,7 @@
     EXPECT_EQ(core.counters().left, 1u);
 }
 
-// --- the platform's pool, with the test in the place of the network ---
+// --- The HTTP server pool, with a fake network ---
 struct Network : wire::Connector {
     void connect(Time, std::shared_ptr<wire::Machine> machine, const std::string& address) override {
         made.push_back(std::move(machine)), addresses.push_back(address);
@@ -248,7 +250,7 @@
     PoolTest() {
         for (const char* name : {"a", "b"})
             pool.learn(now, core.handleOf(name), name, std::string(name) + ":1");
-        core.farm(now, fleet, pool, RosterMode::full, {entry("a"), entry("b")});
+        core.updateRoster(now, fleet, pool, RosterMode::full, {entry("a"), entry("b")});
     }
     std::shared_ptr<Client> job(std::uint32_t klass, const std::string& trace) {
         auto client = std::make_shared<Client>();
@@ -281,7 +283,7 @@
         EXPECT_NE(sent.find(part), std::string::npos) << part;
 }
 
-// Guards against callbacks that come before the 202, repeat, or come from another server.
+// Callbacks may arrive before the 202, more than once, or from another server.
 TEST_F(PoolTest, TakesACallbackOnceAndFromTheRightServerOnly) {
     using Call = platform::Servers::Call;
     const auto client = job(0, "t");
@@ -310,7 +312,7 @@
     EXPECT_EQ(network.made.size(), 1u);
     EXPECT_EQ(pool.counters().deletes, 0u);
     job(0, "u");
-    ASSERT_EQ(network.made.size(), 2u);  // the closed one is not used again
+    ASSERT_EQ(network.made.size(), 2u);  // the closed connection is not reused
     network.made[1]->opened(now);
     network.take(1, now);
     network.give(1, now, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
@@ -318,7 +320,7 @@
     EXPECT_EQ(network.take(1, now).find("DELETE /jobs/u HTTP/1.1\r\n"), 0u);
 }
 
-// Guards against a server's own 503 reaching the client, and against taking it for a job that never ran.
+// A server's own 503 must neither reach the client nor count as proof that the job never ran.
 TEST_F(PoolTest, ReadsWhatAnAnswerProves) {
     for (const auto& [head, how] : {std::pair{"503 Busy\r\nX-Never-Ran: 1", End::handedBack},
                                     {"504 Late\r\nX-Never-Ran: 1", End::handedBack},
@@ -335,7 +337,7 @@
     }
 }
 
-// Guards against writing to a connection that the server is about to close: that would end as a reset.
+// Guards against writing to a connection that the server is about to close, which ends in a reset.
 TEST_F(PoolTest, DropsIdleConnectionsWellBeforeTheServerDoes) {
     job(0, "t");
     network.made[0]->opened(now);
@@ -346,20 +348,20 @@
     EXPECT_EQ(pool.idle(), 0u);
 }
 
-// Guards against servers that drop idle connections early and silently: that is no fault of theirs, and their
-// connections are kept for less long from then on.
+// Some servers drop idle connections early and silently. This doesn't count as a fault of the server; its
+// connections are kept idle for a shorter time afterwards.
 TEST_F(PoolTest, LearnsHowLongAConnectionMayRest) {
     const std::string taken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     const auto carry = [&](std::size_t at) { network.take(at, now), network.give(at, now, taken); };
-    core.farm(now, fleet, pool, RosterMode::incremental, {entry("b", WorkerStatus::off)});
+    core.updateRoster(now, fleet, pool, RosterMode::incremental, {entry("b", WorkerStatus::off)});
     job(0, "t"), network.made[0]->opened(now), carry(0);
     pass(2s);
     job(0, "u");
-    ASSERT_EQ(network.made.size(), 1u);  // on the kept one
+    ASSERT_EQ(network.made.size(), 1u);  // the idle connection is reused
     network.take(0, now);
     network.made[0]->ended(now, End::peerReset);
     EXPECT_EQ(core.counters().ends[static_cast<std::size_t>(End::staleSent)], 1u);
-    ASSERT_EQ(network.made.size(), 2u);  // a safe job goes out again
+    ASSERT_EQ(network.made.size(), 2u);  // a safe job is sent again
     network.made[1]->opened(now), carry(1);
     pass(900ms);
     EXPECT_EQ(pool.idle(), 1u);
@@ -374,7 +376,7 @@
     job(1, "t");
     pass(260ms);
     EXPECT_EQ(core.counters().ends[static_cast<std::size_t>(End::connectTimedOut)], 1u);
-    EXPECT_EQ(network.made.size(), 2u);  // a keyed job goes elsewhere: it never ran
+    EXPECT_EQ(network.made.size(), 2u);  // a keyed job is sent to another server: it never ran
 }
 
 TEST_F(PoolTest, TheWatchGoesOnAtOnceAndTellsWhenItIsLost) {
@@ -382,14 +384,14 @@
     watch.watch(now);
     const std::size_t at = network.made.size() - 1;
     network.made[at]->opened(now);
-    EXPECT_EQ(network.take(at, now).find("GET /api/targets HTTP/1.1"), 0u);  // nothing is known yet
+    EXPECT_EQ(network.take(at, now).find("GET /api/targets HTTP/1.1"), 0u);  // no index is known yet
     const std::string list =
         R"({"index":7,"snapshot":false,"endpoints":[{"name":"a","address":"a:1","zone":"sofia-1","type":"std-4",)"
         R"("group":3,"status":"Terminating","weight":1.0,"since_ms":0}]})";
     network.give(at, now,
                  "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
     EXPECT_FALSE(core.accepts(core.handleOf("a")));
-    EXPECT_EQ(network.take(at, now), "");  // the watch begins in its turn
+    EXPECT_EQ(network.take(at, now), "");  // the next poll waits for its interval
     pass(50ms);
     EXPECT_EQ(network.take(at, now).find("GET /api/targets?index=7&wait="), 0u);
     const std::string same = R"({"index":7,"snapshot":false,"endpoints":[]})";
@@ -399,38 +401,37 @@
             "HTTP/1.1 " + status + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     };
     answer(at, "200 OK\r\n", same);
-    EXPECT_EQ(network.take(at, now).find("GET /api/targets?index=7&wait="), 0u);  // and goes on at once
+    EXPECT_EQ(network.take(at, now).find("GET /api/targets?index=7&wait="), 0u);  // polls again at once
     network.made[at]->ended(now, End::peerReset);
-    EXPECT_EQ(core.counters().farmLost, 1u);
+    EXPECT_EQ(core.counters().rosterLosses, 1u);
     pass(50ms);
     ASSERT_EQ(network.made.size(), at + 2);
     network.made[at + 1]->opened(now);
-    EXPECT_EQ(network.take(at + 1, now).find("GET /api/targets?index=7&wait="), 0u);  // from its version
-    // One that is busy is obeyed, over the same connection.
+    EXPECT_EQ(network.take(at + 1, now).find("GET /api/targets?index=7&wait="), 0u);  // from the last index
+    // A Retry-After of a busy service is honoured, and the connection is kept.
     answer(at + 1, "503 Busy\r\nRetry-After: 1.5\r\n", "");
-    EXPECT_EQ(core.counters().farmLost, 2u);
+    EXPECT_EQ(core.counters().rosterLosses, 2u);
     pass(1490ms);
     EXPECT_EQ(network.take(at + 1, now), "");
     pass(200ms);
     EXPECT_EQ(network.take(at + 1, now).find("GET /api/targets?index=7&wait="), 0u);
-    // One that counts anew tells changes of something else.
+    // A lower index means that the service has restarted its numbering: the full list is requested again.
     answer(at + 1, "200 OK\r\n", R"({"index":2,"snapshot":false,"endpoints":[]})");
     pass(1s);
     EXPECT_EQ(network.take(at + 1, now).find("GET /api/targets HTTP/1.1"), 0u);
     EXPECT_EQ(network.made.size(), at + 2);
-    EXPECT_TRUE(core.accepts(core.handleOf("b")));  // the old list holds
+    EXPECT_TRUE(core.accepts(core.handleOf("b")));  // the old list stays in effect
 }
 
-// Guards against a dispatcher that lives on the list it was started with, and against an agent on the same
-// machine whose silence outlasts the rule on drains: the word of a drain has to be obeyed in time after it,
-// too.
+// Guards against a dispatcher that keeps using its initial list, and against a silent local agent: a server's
+// drain must be applied within the drain grace period after the agent answers again.
 TEST_F(PoolTest, APushedListIsWatchedFromTheStartAndAgainAfterSilence) {
     settings::Site pushed = site();
     pushed.module.rosterOnRequest = false, pushed.drainGrace = 2s;
     Core own(pushed, 3, deadlines);
     platform::Servers servers(own, deadlines, network);
     platform::Watch watch(own, servers, deadlines, network, "agent:1");
-    own.addFarmSource(watch);
+    own.addRosterSource(watch);
     const auto answer = [&](std::size_t at, const std::string& body) {
         network.give(at, now,
                      "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -440,14 +441,14 @@
                R"(,"snapshot":true,"endpoints":[{"name":"a","address":"a:1","zone":"z","status":")" + status +
                R"(","weight":1.0,"since_ms":0}]})";
     };
-    watch.begin(now, std::nullopt);  // no job has come and no list was known
+    watch.begin(now, std::nullopt);  // before the first job and without an initial list
     std::size_t at = network.made.size() - 1;
     ASSERT_EQ(network.addresses[at], "agent:1");
     network.made[at]->opened(now);
     EXPECT_EQ(network.take(at, now).find("GET /api/targets HTTP/1.1"), 0u);
     answer(at, listing(7, "Ready"));
     EXPECT_TRUE(own.accepts(own.handleOf("a")));
-    for (int calls = 0; calls < 5; ++calls) {  // an agent that answers at once is not called in a loop
+    for (int calls = 0; calls < 5; ++calls) {  // an immediate answer causes no tight polling loop
         EXPECT_EQ(network.take(at, now), "");
         pass(50ms);
         EXPECT_EQ(network.take(at, now).find("GET /api/targets?index=7&wait=500 "), 0u);
@@ -455,7 +456,7 @@
     }
     pass(50ms);
     ASSERT_NE(network.take(at, now), "");
-    // Now it is silent for 6 s, and so are its connections. The news comes to it just after a call was made.
+    // The agent and its connections are silent for 6 s. It learns of the drain just after a call was made.
     std::size_t calls = network.made.size();
     pass(6s);
     EXPECT_GE(network.made.size() - calls, 6u);
@@ -465,15 +466,15 @@
     while (network.made.size() == calls && now < told + 3s) pass(10ms);
     at = network.made.size() - 1;
     network.made[at]->opened(now);
-    EXPECT_EQ(network.take(at, now).find("GET /api/targets HTTP/1.1"), 0u);  // it may count anew
+    EXPECT_EQ(network.take(at, now).find("GET /api/targets HTTP/1.1"), 0u);  // indexes may have restarted
     answer(at, listing(1, "Terminating"));
     EXPECT_FALSE(own.accepts(own.handleOf("a")));
     EXPECT_LE(now - told, 1s);
-    EXPECT_GE(own.counters().farmLost, 6u);
+    EXPECT_GE(own.counters().rosterLosses, 6u);
 }
 
-// Guards against news that are missed when discovery moves: the new address may count its versions anew, and
-// what it has to tell counts as told within seconds, also when its first calls fail.
+// Guards against updates missed when the discovery address changes: the new service may number its versions
+// differently, and its list must be applied within seconds, also when the first calls to it fail.
 TEST_F(PoolTest, TheWatchMovesAtOnceAndKeepsTheFarm) {
     platform::Watch watch(core, pool, deadlines, network, "d:1");
     watch.watch(now);
@@ -483,7 +484,7 @@
     network.give(old, now,
                  "HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"
                  R"({"index":7,"snapshot":false,"endpoints":[]})");
-    watch.move(now, "d:1");  // the same address: the watch goes on
+    watch.move(now, "d:1");  // the same address: no new connection
     EXPECT_EQ(network.made.size(), old + 1);
     watch.move(now, "e:1");
     ASSERT_EQ(network.made.size(), old + 2);
@@ -491,7 +492,7 @@
     network.made[old + 1]->ended(now, End::connectRefused);
     pass(300ms);
     ASSERT_EQ(network.made.size(), old + 3);
-    EXPECT_EQ(core.counters().farmLost, 0u);
+    EXPECT_EQ(core.counters().rosterLosses, 0u);
     network.made[old + 2]->opened(now);
     EXPECT_EQ(network.take(old + 2, now).find("GET /api/targets HTTP/1.1\r\nHost: e:1"), 0u);
     EXPECT_TRUE(core.accepts(core.handleOf("a")));
@@ -502,8 +503,7 @@
     EXPECT_EQ(network.take(old + 2, now).find("GET /api/targets?index=2&wait="), 0u);
 }
 
-// What one process of a dispatcher was told is what the next one begins with: first list, changes and
-// version.
+// A successor process inherits the roster state of its predecessor: initial list, changes and version.
 TEST_F(PoolTest, TheWatchHandsItsListOnAsItStands) {
     const auto entry = [](const std::string& name, const std::string& status) {
         return R"({"name":")" + name + R"(","address":")" + name + R"(:1","zone":"z","status":")" + status +
@@ -537,23 +537,23 @@
     after.known(now, parser.parse(list(1, true, entry("r", "Ready"))).get_object().value());
     after.inherit(now, told);
     EXPECT_TRUE(next.accepts(next.handleOf("p")));
-    EXPECT_FALSE(next.accepts(next.handleOf("q")));  // told just before the change: it drains here, too
+    EXPECT_FALSE(next.accepts(next.handleOf("q")));  // it drains at the successor, too
     EXPECT_FALSE(next.accepts(next.handleOf("r")));
-    EXPECT_EQ(next.listed(), 2u);
+    EXPECT_EQ(next.listedServers(), 2u);
     after.watch(now);
     const std::size_t asks = network.made.size() - 1;
     network.made[asks]->opened(now);
     EXPECT_EQ(network.take(asks, now).find("GET /api/targets?index=5&wait="), 0u);
     network.made[at]->ended(
-        now, End::peerReset);  // the old watch is lost: what it told holds, and it goes on from there
+        now, End::peerReset);  // the old watch is lost; its list and index are kept
     EXPECT_EQ(watch.told().find(R"({"index":5,)"), 0u);
-    after.inherit(now, R"({"index":9,"snapshot":true,"endpoints":[]})");  // of one that was told nothing
-    EXPECT_EQ(next.listed(), 2u);
+    after.inherit(now, R"({"index":9,"snapshot":true,"endpoints":[]})");  // from a predecessor without a list
+    EXPECT_EQ(next.listedServers(), 2u);
     EXPECT_THROW(after.inherit(now, "{"), settings::BadField);
     EXPECT_THROW(after.inherit(now, R"({"endpoints":[{"name":1}]})"), settings::BadField);
 }
 
-// --- the platform's front: what a request may look like ---
+// --- The HTTP front: which requests it accepts ---
 struct FrontTest : PoolTest {
     std::string say(const std::string& request) {
         const auto machine = front.accept(now);
@@ -585,11 +585,11 @@
     auto request = [n = 0]() mutable {
         return "POST /car-match HTTP/1.1\r\nX-Trace-Id: " + std::to_string(++n) + "\r\n\r\n";
     };
-    EXPECT_EQ(say(request()), "");  // still taken: clients come for a while
-    EXPECT_EQ(core.open(), 1u);
+    EXPECT_EQ(say(request()), "");  // still accepted: clients arrive for a while
+    EXPECT_EQ(core.openTransactions(), 1u);
     EXPECT_EQ(say("GET /-/ready HTTP/1.1\r\n\r\n").substr(9, 3), "503");
     pass(2700ms);
-    EXPECT_EQ(say(request()), "");  // who has a connection may know no other dispatcher that is up
+    EXPECT_EQ(say(request()), "");  // a connected client may know no other running dispatcher
     EXPECT_FALSE(front.handedOver(now));
     pass(200ms);
     EXPECT_TRUE(front.handedOver(now));
@@ -599,19 +599,19 @@
     EXPECT_NE(answer.find("Connection: close"), std::string::npos);
 }
 
-// Guards against a request that would meet the process's end unread.
+// Guards against requests that are still unread when the process exits.
 TEST_F(FrontTest, ClosesIdleConnectionsWhenTheHandOverIsOver) {
     const auto busy = front.accept(now);
     busy->in().put("POST /car-match HTTP/1.1\r\nX-Trace-Id: 1\r\n\r\n");
     busy->received(now);
-    say("GET /-/ready HTTP/1.1\r\n\r\n");  // idle now
+    say("GET /-/ready HTTP/1.1\r\n\r\n");  // idle after the answer
     const auto rests = network.made.back();
     service.end(now);
     pass(2790ms);
     EXPECT_EQ(front.open(), 2u);
     EXPECT_FALSE(rests->finished());
     pass(20ms);
-    EXPECT_TRUE(rests->finished());  // shut down: what comes now is not served, so it may be repeated
+    EXPECT_TRUE(rests->finished());  // closed: a later request is not processed, so the client may repeat it
     rests->in().put("POST /car-match HTTP/1.1\r\nX-Trace-Id: 2\r\n\r\n"), rests->received(now);
     EXPECT_EQ(core.counters().taken, 1u);
     pass(http::Server::kLinger);
@@ -619,7 +619,7 @@
     EXPECT_FALSE(front.quiet());
 }
 
-// Ids that another process of this dispatcher has in use are refused here, for as long as calls may come.
+// Job ids in use by another process of this dispatcher are rejected as long as callbacks for them may arrive.
 TEST_F(FrontTest, RefusesIdsInUseAtTheOtherProcess) {
     const auto request = [](const std::string& trace) {
         return "POST /car-match HTTP/1.1\r\nX-Trace-Id: " + trace + "\r\n\r\n";
@@ -633,8 +633,8 @@
     EXPECT_EQ(say(request("x")), "");
 }
 
-// The drain that can be taken back: by 4 s no client's connection rests or carries a young job, nothing that
-// came is refused for its sake, and job servers' and the platform's own connections stay.
+// The drain that can be reverted: after 4 s no client connection is idle or carries a young job, no request
+// that has arrived is rejected because of it, and connections of job servers and of the platform stay open.
 struct DrainTest : FrontTest {
     struct Peer : wire::Driver {
         void wake() override {}
@@ -674,16 +674,16 @@
     EXPECT_EQ(tell(*server, callback).find("Connection: close"), std::string::npos);
     pass(1690ms);
     EXPECT_FALSE(idle->dropped || idle->machine->finished());
-    crossing->crossing = true;  // a request has come that was not read yet
+    crossing->crossing = true;  // a request has arrived and is not read yet
     pass(20ms);
     EXPECT_TRUE(idle->machine->finished());
     for (const auto* other : {&prober, &server, &crossing})
         EXPECT_FALSE((*other)->dropped || (*other)->machine->finished());
     crossing->crossing = false;
-    EXPECT_EQ(tell(*crossing, job("1")), "");  // taken
-    EXPECT_EQ(core.open(), 1u);
+    EXPECT_EQ(tell(*crossing, job("1")), "");  // accepted
+    EXPECT_EQ(core.openTransactions(), 1u);
     pass(100ms);
-    const auto late = peer();  // the front sends nobody by now, but for a moment somebody may still come
+    const auto late = peer();  // the load balancer has stopped, but a client may still arrive for a moment
     pass(200ms);
     EXPECT_EQ(tell(*late, job("2")).substr(9, 3), "503");  // would be younger than 2 s at 4 s
     EXPECT_EQ(core.counters().byClass[0].declined, 1u);
@@ -700,7 +700,7 @@
     pass(5s);
     for (const auto* one : {&client, &other}) EXPECT_FALSE((*one)->dropped || (*one)->machine->finished());
     EXPECT_EQ(tell(*other, job("1")), "");
-    EXPECT_EQ(core.open(), 1u);
+    EXPECT_EQ(core.openTransactions(), 1u);
 }
 
 TEST_F(DrainTest, AnEndGoesBeforeADrain) {
@@ -709,13 +709,13 @@
     service.end(now);
     const auto client = peer();
     pass(2000ms);
-    EXPECT_EQ(tell(*client, job("1")), "");  // the planned end's own times hold
+    EXPECT_EQ(tell(*client, job("1")), "");  // the schedule of the shutdown applies
     EXPECT_FALSE(front.handedOver(now));
     pass(1s);
     EXPECT_TRUE(front.handedOver(now));
 }
 
-// Guards against a hint read in another unit than it is written in: all expectations hang on it.
+// Guards against a duration hint read in the wrong unit: all estimates depend on it.
 TEST_F(FrontTest, ReadsWhatAJobNeeds) {
     http::Message message;
     message.method = "POST", message.target = "/car-match";
@@ -728,7 +728,7 @@
     EXPECT_EQ(job->request.memory, 0.452);
 }
 
-// Guards against a crowd taking the descriptors of clients that have jobs to send.
+// Guards against many idle peers using up the file descriptors of clients with jobs.
 TEST_F(FrontTest, ClosesWhoHasShownLeastWhenShort) {
     using platform::Front;
     const auto busy = front.accept(now), client = front.accept(now), stranger = front.accept(now),
@@ -753,7 +753,7 @@
     Leaver a(order, 'c'), b(order, 's'), c(order, '-');
     client->attach(&a), stranger->attach(&b), silent->attach(&c);
     EXPECT_TRUE(front.relieve(now, Front::stranger));
-    EXPECT_FALSE(front.relieve(now, Front::stranger));  // the silent one has only just come
+    EXPECT_FALSE(front.relieve(now, Front::stranger));  // the silent one has only just connected
     now += 400ms;
     EXPECT_TRUE(front.relieve(now, Front::stranger));
     EXPECT_FALSE(front.relieve(now, Front::stranger));
@@ -763,7 +763,7 @@
     EXPECT_EQ(front.open(), 1u);
 }
 
-// Guards against half messages that keep clients waiting for a descriptor.
+// Guards against incomplete requests that hold descriptors while clients wait for one.
 TEST_F(FrontTest, CutsLongHalfMessagesOffWhenShort) {
     const auto half = front.accept(now);
     half->in().put("POST /car-match HTTP/1.1\r\nX-Tr");
@@ -775,7 +775,7 @@
     EXPECT_FALSE(half->out().empty());
 }
 
-// Guards against a second job under an id that servers and their callbacks know another by.
+// Guards against a second job with the id of an open one, whose callbacks could not be told apart.
 TEST_F(FrontTest, RefusesTheIdOfAnotherJobAndLeavesThatUnharmed) {
     const std::string request = "POST /car-match HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 0\r\n\r\n";
     const auto first = front.accept(now);
@@ -790,12 +790,12 @@
     EXPECT_EQ(pool.callback(now, call("done", holder(0))), platform::Servers::Call::taken);
     network.made.push_back(first);
     EXPECT_EQ(network.take(network.made.size() - 1, now).substr(9, 3), "200");
-    EXPECT_EQ(say(request).substr(9, 3), "409");  // its callback may be repeated yet
+    EXPECT_EQ(say(request).substr(9, 3), "409");  // its callback may still be repeated
     now += 11s;
     EXPECT_EQ(say(request), "");
 }
 
-// Guards against what an application server would close its connection on, and all that waits there with it.
+// Guards against forwarding requests on which a server would close the connection, with all jobs on it.
 TEST_F(FrontTest, PassesNothingOnThatAServerCouldNotRead) {
     const std::size_t before = network.made.size();
     const auto status = [this](const std::string& path, const std::string& headers) {
@@ -816,11 +816,11 @@
     EXPECT_EQ(status("/car-match", trace + "X-Props: slots=nan\r\n"), "400");
     EXPECT_EQ(status("/car-match", trace + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), "400");
     EXPECT_EQ(status("/car-match", trace + "Content-Length: 60000000\r\n"), "413");
-    EXPECT_EQ(network.made.size() - before, 19u);  // the test's own connections, none to a server
+    EXPECT_EQ(network.made.size() - before, 19u);  // connections of the test, none to a server
     EXPECT_EQ(core.counters().taken, 0u);
 }
 
-// Guards against peers that send the same again as soon as it is turned away.
+// Guards against peers that repeat a rejected request immediately.
 TEST_F(FrontTest, TellsWhoRepeatsAFaultToWait) {
     const auto peer = front.accept(now);
     network.made.push_back(peer);
@@ -836,7 +836,7 @@
     EXPECT_TRUE(peer->finished());
 }
 
-// Guards against many half messages that together hold more than there is.
+// Guards against many incomplete requests that together exceed the memory limit.
 TEST_F(FrontTest, BoundsWhatHalfMessagesHold) {
     front.setRoom(20'000);
     std::vector<std::shared_ptr<wire::Machine>> peers;
@@ -852,7 +852,7 @@
     EXPECT_NE(answers.find("HTTP/1.1 503"), std::string::npos);
     EXPECT_GT(front.counters().noRoom, 3u);
     EXPECT_LT(front.counters().noRoom, 9u);
-    for (const auto& peer : peers) peer->ended(now, End::peerReset);  // what they held is free again
+    for (const auto& peer : peers) peer->ended(now, End::peerReset);  // their buffers are free again
     const auto next = front.accept(now);
     next->in().put("POST /car-match HTTP/1.1\r\nContent-Length: 60000\r\n\r\n" + std::string(3000, 'x'));
     next->received(now);
--- a/tests/figures_test.cpp
+++ b/tests/figures_test.cpp
@@ -38,14 +38,14 @@
 
     Figures() {
         service.begin(now);
-        std::vector<FarmEntry> entries;
+        std::vector<RosterServer> entries;
         for (const char* const name : {"a", "b", "c"}) {
-            FarmEntry entry;
+            RosterServer entry;
             entry.name = name;
             entries.push_back(entry);
             pool.learn(now, core.handleOf(name), name, name);
         }
-        core.farm(now, source, pool, RosterMode::full, entries);
+        core.updateRoster(now, source, pool, RosterMode::full, entries);
     }
     std::uint64_t counter(const std::string& name) const {
         const std::string text = routerCounters(core), key = "router." + name + '=';
@@ -168,7 +168,7 @@
 
     Time now{1'000'000'000'000};
     Deadlines deadlines;
-    FarmSource source;
+    RosterSource source;
     Net net;
     Core core{site(), 5, deadlines};
     platform::Servers pool{core, deadlines, net};
@@ -222,7 +222,7 @@
     submit();
     readClients();
     expectCountersMatch();
-    core.turnedAway(0, true);
+    core.countRejectedByFront(0, true);
     EXPECT_NE(counter("declined.car-match"), expected["declined.car-match"]);
     EXPECT_NE(core.counters().taken, asked);
     core.passWritten();
--- a/tests/fronts_test.cpp
+++ b/tests/fronts_test.cpp
@@ -119,15 +119,15 @@
         net::Link::connect(loop, caller, listener_.address());
     }
     void list(std::size_t server, WorkerStatus standing) {
-        FarmEntry entry;
+        RosterServer entry;
         entry.name = servers_[server]->name;
         entry.entry.status = standing;
         entry.entry.cell = static_cast<int>(server);
-        core.farm(now, source_, pool_, RosterMode::incremental, {entry});
+        core.updateRoster(now, source_, pool_, RosterMode::incremental, {entry});
     }
 
     int calls_ = 0;
-    FarmSource source_;
+    RosterSource source_;
     platform::Servers pool_{core, loop.deadlines(), *this};
     service::Service service_;
     platform::Front front_{core, pool_, loop.deadlines(), service_};
@@ -165,9 +165,9 @@
         EXPECT_TRUE(until([&] { return front_.counters().packets > before; }));
     }
     void vanish(std::size_t server) override {
-        const auto before = core.counters().farmUpdates;
+        const auto before = core.counters().rosterUpdates;
         workers_[server]->hangUp();
-        EXPECT_TRUE(until([&] { return core.counters().farmUpdates > before; }));
+        EXPECT_TRUE(until([&] { return core.counters().rosterUpdates > before; }));
     }
 
 private:
--- a/tests/gearman_test.cpp
+++ b/tests/gearman_test.cpp
@@ -166,8 +166,8 @@
     first.gone = true;
     say(able, Type::grabJob);
     EXPECT_EQ(last(able).type, Type::noJob);
-    EXPECT_EQ(core.counters().leftUnheard, 1u);
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.counters().leftUnnoticed, 1u);
+    EXPECT_EQ(core.openTransactions(), 0u);
     first.gone = false;
     say(client, Type::submitJobBg, {"car-match", "w", "data"});
     first.gone = true;
@@ -396,12 +396,12 @@
         }
         raw(client);
         const auto& c = core.counters();
-        ASSERT_EQ(c.served + c.unavailable + c.failed + c.left + core.open(), c.taken);
+        ASSERT_EQ(c.served + c.unavailable + c.failed + c.left + core.openTransactions(), c.taken);
         ASSERT_LE(c.taken, submitted);
-        ASSERT_LE(core.open(), 40u);
+        ASSERT_LE(core.openTransactions(), 40u);
     }
     pass(9s);
-    EXPECT_EQ(core.open(), 0u);
+    EXPECT_EQ(core.openTransactions(), 0u);
     EXPECT_GT(core.counters().served, 60u);  // of a load that is mostly refused
     EXPECT_EQ(core.counters().withheld, 0u);
 }
--- a/tests/grpc_run_test.cpp
+++ b/tests/grpc_run_test.cpp
@@ -264,7 +264,7 @@
 
     const auto& c = run.core.counters();
     EXPECT_EQ(c.taken, c.served + c.unavailable + c.failed + c.left);
-    EXPECT_EQ(run.core.open(), 0u);
+    EXPECT_EQ(run.core.openTransactions(), 0u);
     EXPECT_EQ(run.pool.openPasses(), 0u);
     EXPECT_EQ(run.front.counters().calls.open, 0u);
     EXPECT_EQ(run.front.held(), 0u);
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -148,8 +148,8 @@
     std::uint64_t ends(End how) const { return core.counters().ends[static_cast<std::size_t>(how)]; }
     void expectEmpty() {
         EXPECT_TRUE(until([&] {
-            return core.open() == 0 && pool.openPasses() == 0 && front.counters().calls.open == 0;
-        })) << core.open()
+            return core.openTransactions() == 0 && pool.openPasses() == 0 && front.counters().calls.open == 0;
+        })) << core.openTransactions()
             << ' ' << pool.openPasses() << ' ' << front.counters().calls.open;
         const auto& c = core.counters();
         EXPECT_EQ(c.taken, c.served + c.unavailable + c.failed + c.left);
@@ -327,10 +327,10 @@
         void probe(Time, Worker) override {}
         int passes = 0;
     } others;
-    FarmSource source;
-    FarmEntry entry;
+    RosterSource source;
+    RosterServer entry;
     entry.name = "http-1";
-    core.farm(now, source, others, RosterMode::full, {entry});
+    core.updateRoster(now, source, others, RosterMode::full, {entry});
     GrpcClient& c = client();
     c.call(now, {});
     EXPECT_TRUE(until([&] { return core.counters().taken == 1; }));
@@ -612,7 +612,7 @@
     pool.configure(now, config);
     GrpcClient& never = client();
     never.call(now, stops);
-    EXPECT_TRUE(until([&] { return core.open() == 0 && core.counters().served == 2; }));
+    EXPECT_TRUE(until([&] { return core.openTransactions() == 0 && core.counters().served == 2; }));
     EXPECT_FALSE(never.outcomes[0].closed);
     pass(3s);
     EXPECT_TRUE(until([&] { return never.outcomes[0].closed; }));
@@ -780,7 +780,7 @@
     pass(10s);
     EXPECT_TRUE(until([&] { return c.unanswered() == 0; }));
     EXPECT_EQ(pool.counters().restarts, 0u);
-    const auto updates = core.counters().farmUpdates;
+    const auto updates = core.counters().rosterUpdates;
     servers.push_back(std::make_unique<GrpcServer>(
         loop, [](const GrpcServer::Execution&, std::size_t) { return Play{}; }, http2::Limits{}, port));
     pass(10s);
@@ -788,7 +788,7 @@
     for (int i = 0; i < 20 && servers.back()->ledger.empty(); ++i) again.call(now, {}), pass(500ms);
     EXPECT_FALSE(servers.back()->ledger.empty());
     EXPECT_EQ(pool.counters().restarts, 1u) << "it has started anew";
-    EXPECT_EQ(core.counters().farmUpdates, updates + 1) << "and the module is told";
+    EXPECT_EQ(core.counters().rosterUpdates, updates + 1) << "and the module is told";
     pass(10s);
     expectEmpty();
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -295,7 +295,7 @@
 TEST(Deadlines, AreSweptInOrderAndTakenBack) {
     Deadlines deadlines;
     std::string order;
-    Deadlines::Ticket first, second;
+    Deadlines::Timer first, second;
     first.arm(deadlines, 2s, [&](Time) { order += 'b'; });
     second.arm(deadlines, 3s, [&](Time) { order += 'x'; });
     deadlines.once(1s, [&](Time at) {
@@ -303,7 +303,7 @@
         second.disarm();
         deadlines.once(at, [&](Time) { order += 'c'; });
     });
-    EXPECT_EQ(deadlines.head(), Time(1s));
+    EXPECT_EQ(deadlines.earliest(), Time(1s));
     deadlines.sweep(5s);
     deadlines.sweep(5s);
     EXPECT_EQ(order.size(), 3u);
