--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where work may be done: the document, the allowance over a fleet, and the core with both.
+// Tests of the placement policy: its document, the spill allowance over a fleet, and the core with both.
 #include <gtest/gtest.h>
 
 #include <boost/random/mersenne_twister.hpp>
@@ -100,7 +100,7 @@
     EXPECT_FALSE(config::readOperator(site(), "own.json", "{}").placement.on);
 }
 
-// The sum over a fleet of those that ask whenever they can, killed and started at random, in any span.
+// Dispatchers of a fleet spend whenever they can and restart at random; the sum must hold in any span.
 TEST(Allowance, IsNeverExceededOverTheFleetRestartsIncluded) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         boost::random::mt19937_64 random(seed);
@@ -111,19 +111,19 @@
         Spill spill;
         spill.longJobs = static_cast<std::uint32_t>(1 + draw() * 100), spill.longSpan = 6s;
         spill.shortJobs = spill.longJobs, spill.shortSpan = 1s;
-        std::vector<Ledger> ledgers;
-        for (std::uint32_t me = 0; me < fleet; ++me) ledgers.emplace_back(spill, fleet, me, Time(1000s));
+        std::vector<SpillLimiter> limiters;
+        for (std::uint32_t me = 0; me < fleet; ++me) limiters.emplace_back(spill, fleet, me, Time(1000s));
         std::deque<Time> all;
         std::size_t most = 0, sum = 0;
         for (Time now = 1000s; now < 1200s; now += 40ms)
             for (std::uint32_t me = 0; me < fleet; ++me) {
-                if (draw() < 0.001) ledgers[me] = Ledger(spill, fleet, me, now);
-                if (draw() < 0.3 && ledgers[me].spend(now)) all.push_back(now), ++sum;
+                if (draw() < 0.001) limiters[me] = SpillLimiter(spill, fleet, me, now);
+                if (draw() < 0.3 && limiters[me].trySpend(now)) all.push_back(now), ++sum;
                 while (!all.empty() && all.front() <= now - spill.longSpan) all.pop_front();
                 most = std::max(most, all.size());
             }
         EXPECT_LE(most, spill.longJobs) << "seed " << seed << ", fleet " << fleet;
-        // What may be used is used: most of the 32 spans in which anyone may spend.
+        // The allowance is also used: in most of the 32 spans in which spending is possible.
         EXPECT_GE(sum, spill.longJobs * 15) << "seed " << seed << ", fleet " << fleet;
     }
 }
@@ -131,13 +131,13 @@
 TEST(Allowance, AStartBeginsWithAnEmptyPurseAndBurstsAreBounded) {
     Spill spill;
     spill.longJobs = 10, spill.longSpan = 10s, spill.shortJobs = 2, spill.shortSpan = 1s;
-    Ledger ledger(spill, 1, 0, 100s);
-    EXPECT_FALSE(ledger.spend(105s));
-    EXPECT_TRUE(ledger.spend(110s));
-    EXPECT_TRUE(ledger.spend(110s));
-    EXPECT_FALSE(ledger.spend(110s + 500ms));
-    ledger.giveBack(110s);
-    EXPECT_TRUE(ledger.spend(110s + 600ms));
+    SpillLimiter limiter(spill, 1, 0, 100s);
+    EXPECT_FALSE(limiter.trySpend(105s));
+    EXPECT_TRUE(limiter.trySpend(110s));
+    EXPECT_TRUE(limiter.trySpend(110s));
+    EXPECT_FALSE(limiter.trySpend(110s + 500ms));
+    limiter.refund(110s);
+    EXPECT_TRUE(limiter.trySpend(110s + 600ms));
 }
 
 struct Client : ClientEnd {
@@ -149,7 +149,7 @@
     Nanos advice{0};
 };
 
-struct Fleet : ApplicationServers, FarmSource {
+struct Fleet : ApplicationServers, RosterSource {
     void start(Time, const ProxyPass& pass) override { started.push_back(pass); }
     void abandon(Time, const ProxyPass&) override {}
     void closeIdle(Time, Worker) override {}
@@ -157,9 +157,9 @@
     std::vector<ProxyPass> started;
 };
 
-FarmEntry at(const std::string& name, int zone, WorkerStatus status = WorkerStatus::on,
-             Time since = Time(0)) {
-    FarmEntry e;
+RosterServer at(const std::string& name, int zone, WorkerStatus status = WorkerStatus::on,
+                Time since = Time(0)) {
+    RosterServer e;
     e.name = name;
     e.entry.zone = zone, e.entry.status = status, e.entry.startedAt = since;
     return e;
@@ -177,7 +177,7 @@
         id = core.arrive(now, std::move(arrival));
         return client;
     }
-    // Where a hundred jobs go, each served at once.
+    // Returns the servers that get a hundred jobs, each served at once.
     std::set<std::string> places(int tenant, std::uint32_t klass) {
         std::set<std::string> out;
         for (int i = 0; i < 100; ++i) {
@@ -197,8 +197,8 @@
             if (core.handleOf(name) == server) return name;
         return "?";
     }
-    void list(RosterMode mode, const std::vector<FarmEntry>& entries) {
-        core.farm(now, fleet, fleet, mode, entries);
+    void list(RosterMode mode, const std::vector<RosterServer>& entries) {
+        core.updateRoster(now, fleet, fleet, mode, entries);
     }
 
     Time now{1000s};
@@ -206,7 +206,7 @@
     Core core{site(), 5, deadlines, read(kDocument).placement, Time(1000s)};
     Fleet fleet;
     TransactionId id = 0;
-    const std::vector<FarmEntry> all{at("s", 0), at("p", 1), at("r", 2), at("x", 2)};
+    const std::vector<RosterServer> all{at("s", 0), at("p", 1), at("r", 2), at("x", 2)};
 };
 
 TEST_F(Placed, EachKindOfWorkGoesWhereItMay) {
@@ -220,7 +220,8 @@
     EXPECT_EQ(core.placement().counters().nowhere, 1u);
 }
 
-// Without a home the answer comes at once, with a time to come back, and nobody else's door is any stricter.
+// Without a server at home a job is refused at once with a retry delay; admission of other jobs is
+// unaffected.
 TEST_F(Placed, RefusedForWantOfHomeAtOnceAndOnlyThat) {
     const auto early = ask(kMaritsa, kMatch);  // no list yet
     EXPECT_EQ(early->last, "unavailable");
@@ -234,12 +235,12 @@
         now += 5ms;
     }
     EXPECT_TRUE(fleet.started.empty());
-    EXPECT_EQ(core.placement().counters().forWantOfHome, 301u);
+    EXPECT_EQ(core.placement().counters().refusedHome, 301u);
     EXPECT_EQ(places(kTrakia, kAssign), (std::set<std::string>{"p", "r", "x"}));
     EXPECT_EQ(core.counters().byClass[kAssign].succeeded, 100u);
 }
 
-// A full home is no reason for others' work to be refused, nor for home's own to go elsewhere.
+// If home is full, jobs of others must not be refused and jobs bound to home must not be sent elsewhere.
 TEST_F(Placed, AFullHomeStaysHomes) {
     list(RosterMode::full, all);
     std::set<std::string> others;
@@ -267,9 +268,9 @@
 TEST_F(Placed, GoesElsewhereOnlyOutOfTheAllowanceAndNeverWhereItMustNot) {
     list(RosterMode::full, {at("p", 1), at("r", 2), at("x", 2), at("s2", 0)});
     list(RosterMode::incremental, {at("s2", 0, WorkerStatus::off)});
-    EXPECT_EQ(ask(kMaritsa, kAssign)->last, "unavailable");  // a start begins with an empty purse
+    EXPECT_EQ(ask(kMaritsa, kAssign)->last, "unavailable");  // nothing may be spent after a start
     now += 7s;
-    // Not p and x, which are in ro, and not r, which may be: nothing is left, and nothing is spent for it.
+    // p and x are in ro and r may be, so no server is permitted and nothing is spent.
     EXPECT_EQ(ask(kMaritsa, kAssign)->last, "unavailable");
     EXPECT_TRUE(fleet.started.empty());
     EXPECT_EQ(core.placement().counters().spilled, core.placement().counters().returned);
@@ -283,7 +284,7 @@
                  return read(open).placement;
              }(),
              Time(1000s)};
-    own.farm(now, fleet, fleet, RosterMode::full, {at("p", 1), at("r", 2)});
+    own.updateRoster(now, fleet, fleet, RosterMode::full, {at("p", 1), at("r", 2)});
     now += 7s;
     int served = 0, refused = 0;
     for (int i = 0; i < 60; ++i) {  // six seconds
@@ -302,14 +303,14 @@
     EXPECT_EQ(refused, 57);
 }
 
-// Home takes nothing more: the passes there count towards the attempts, and the module goes on from them.
+// Rejected passes at home count as attempts, and the dispatcher continues counting from them.
 TEST_F(Placed, AJobThatHomeHandedBackGoesElsewhereAndIsServedOnce) {
     settings::Site wide = site();
     wide.module.maxAttempts = 4;
     std::string open = kDocument;
     open.erase(open.find(R"("never":["ro"],"spill")"), 15);
     Core own{wide, 5, deadlines, read(open).placement, Time(1000s)};
-    own.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 1)});
+    own.updateRoster(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 1)});
     now += 7s;
     auto client = std::make_shared<Client>();
     Arrival arrival;
@@ -325,20 +326,20 @@
     EXPECT_EQ(client->answers, 1);
     EXPECT_EQ(client->last, "served");
     EXPECT_EQ(own.placement().counters().spilled, 1u);
-    EXPECT_EQ(own.open(), 0u);
+    EXPECT_EQ(own.openTransactions(), 0u);
 }
 
-// Fail closed: an unknown place, a label that changed under a running server.
+// Fails closed for an unknown zone and for a label that changes while the server runs.
 TEST_F(Placed, ALabelThatChangesCountsForNothingUntilTheServerStartsAnew) {
     list(RosterMode::full, {at("s", 0), at("p", 1), at("r", 9)});
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
-    list(RosterMode::incremental, {at("p", 0)});  // it says it is at home now
+    list(RosterMode::incremental, {at("p", 0)});  // its label now says home
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
-    list(RosterMode::incremental, {at("s", 1)});  // and home says it is elsewhere
+    list(RosterMode::incremental, {at("s", 1)});  // the label of the home server says elsewhere
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
-    list(RosterMode::incremental, {at("s", 0)});  // and back: which of the two was true
+    list(RosterMode::incremental, {at("s", 0)});  // back again: it is unknown which label was right
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
-    EXPECT_EQ(core.placement().counters().moved, 2u);
+    EXPECT_EQ(core.placement().counters().labelChanged, 2u);
     list(RosterMode::incremental, {at("s", 0, WorkerStatus::on, Time(900s))});
     now += 60s;
     list(RosterMode::incremental, {});
@@ -349,46 +350,49 @@
     list(RosterMode::full, all);
     list(RosterMode::incremental, {at("s", 3, WorkerStatus::off)});
     list(RosterMode::incremental, {at("s", 0)});
-    EXPECT_EQ(core.placement().counters().moved, 0u);
+    EXPECT_EQ(core.placement().counters().labelChanged, 0u);
     EXPECT_EQ(places(kMaritsa, kMatch), (std::set<std::string>{"s"}));
 }
 
-// A Gearman worker, or a server whose entry names no zone, is taken to be near for crossings, and for nothing
-// else.
+// A Gearman worker, or a server whose entry names no zone, is assumed to be in the local zone for cross-zone
+// costs, but not for placement.
 TEST_F(Placed, WhoseZoneIsOnlyTakenToBeNearIsNowhere) {
-    FarmEntry near = at("r", 0);
-    near.placed = false;
+    RosterServer near = at("r", 0);
+    near.zoneKnown = false;
     list(RosterMode::full, {near});
     EXPECT_EQ(ask(kMaritsa, kMatch)->last, "unavailable");
     EXPECT_EQ(places(kTrakia, kAssign), (std::set<std::string>{"r"}));
-    EXPECT_EQ(places(kTrakia, kMatch), (std::set<std::string>{}));  // it may be where this work must not go
+    EXPECT_EQ(places(kTrakia, kMatch), (std::set<std::string>{}));  // it may be in a forbidden jurisdiction
 }
 
-// A process that comes after knows the label that was there first.
+// A successor process knows the original label of each server.
 TEST_F(Placed, StandingsOutliveTheProcess) {
     list(RosterMode::full, {at("s", 0), at("p", 1)});
     list(RosterMode::incremental, {at("s", 1)});
     Core next{site(), 6, deadlines, read(kDocument).placement, now};
-    next.placement().recall(core.placement().standings());
+    next.placement().restorePlacements(core.placement().savedPlacements());
     int told = 0;
-    next.setStandingsChanged([&told](Time) { ++told; });
-    next.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
-    EXPECT_EQ(next.placement().listed(now, next.handleOf("s"), "s", 0, Time(0)).why, Why::moved);
-    EXPECT_EQ(next.placement().listed(now, next.handleOf("p"), "p", 0, Time(0)).why, Why::moved);
-    EXPECT_EQ(next.placement().listed(now, next.handleOf("x"), "x", 2, Time(0)).why, Why::known);
+    next.setPlacementsChanged([&told](Time) { ++told; });
+    next.updateRoster(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
+    EXPECT_EQ(next.placement().updateServer(now, next.handleOf("s"), "s", 0, Time(0)).reason,
+              PlacementReason::labelChanged);
+    EXPECT_EQ(next.placement().updateServer(now, next.handleOf("p"), "p", 0, Time(0)).reason,
+              PlacementReason::labelChanged);
+    EXPECT_EQ(next.placement().updateServer(now, next.handleOf("x"), "x", 2, Time(0)).reason,
+              PlacementReason::known);
     EXPECT_EQ(told, 1);
-    next.farm(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
+    next.updateRoster(now, fleet, fleet, RosterMode::full, {at("s", 0), at("p", 0), at("x", 2)});
     EXPECT_EQ(told, 1);  // nothing new
-    EXPECT_THROW(next.placement().recall("s\tzero\n"), settings::BadField);
+    EXPECT_THROW(next.placement().restorePlacements("s\tzero\n"), settings::BadField);
 }
 
-// Against the core's own books: random lists, labels, drains and jobs, whatever the module would do.
+// Random rosters, labels, drains and jobs, checked against the test's own record of labels.
 TEST_F(Placed, NoBoundJobGoesOutsideInRandomRuns) {
     boost::random::mt19937_64 random(7);
     const auto draw = [&random](int most) {
         return static_cast<int>(boost::random::uniform_real_distribution<double>(0, most)(random));
     };
-    std::map<std::string, std::pair<int, Time>> label;  // first told under its present start
+    std::map<std::string, std::pair<int, Time>> label;  // the first label since the server's last start
     std::set<std::string> moved;
     int bound = 0;
     for (int step = 0; step < 20'000; ++step) {
--- a/tests/replace_test.cpp
+++ b/tests/replace_test.cpp
@@ -1,5 +1,6 @@
-// Two processes that are one dispatcher: the old one and the one that replaces it, on the same listening
-// socket and in the same $TMPDIR, as the platform starts them. And the operators' address of a real one.
+// Tests with two processes of one dispatcher, the old one and its replacement, on the same listening socket
+// and in the same $TMPDIR, as the platform starts them. Also tests the operators' interface of a real
+// process.
 #include <filesystem>
 #include <set>
 
@@ -13,7 +14,7 @@
     return static_cast<std::size_t>(std::distance(begin(entries), end(entries)));
 }
 
-// A platform that holds the clients' socket, one job server, and clients.
+// A fake platform that holds the clients' socket, with one job server and clients.
 struct Replace : testing::Test {
     Replace() {
         std::filesystem::create_directory(folder);
@@ -33,7 +34,7 @@
         return std::make_unique<Program>(
             text, "{}", Environment{{"TMPDIR", folder}, {"ROUTER_OPERATOR", "127.0.0.1:0"}}, handed);
     }
-    // Starts one and waits until it says yes on its own address.
+    // Starts a process and waits until it reports itself ready.
     std::unique_ptr<Program> serving(unsigned short& control) {
         auto process = start(clients.native_handle());
         process->portOf("listening on");
@@ -98,9 +99,9 @@
     Caller third(port), atNew(port);
     post(third, "c");
     EXPECT_EQ(take(), "c");
-    EXPECT_EQ(call(atNew, "a"), "204");  // the old one's, heard by the new one
+    EXPECT_EQ(call(atNew, "a"), "204");  // a job of the old process, at the new one
     expectServed(first, "a");
-    EXPECT_EQ(call(kept, "c"), "204");  // the new one's, heard by the old one
+    EXPECT_EQ(call(kept, "c"), "204");  // a job of the new process, at the old one
     expectServed(third, "c");
     ::kill(old->child, SIGTERM);
     while (ask(oldControl, "GET /control/ready").find("ending") == std::string::npos) {
@@ -113,7 +114,7 @@
     EXPECT_EQ(ask(port, "GET /-/ready").substr(9, 3), "200");
     EXPECT_NE(ask(newControl, "GET /control/counters").find("router.succeeded.car-match=1\n"),
               std::string::npos);
-    EXPECT_EQ(call(atNew, "b"), "204");  // repeated after its owner's exit: nobody is harmed
+    EXPECT_EQ(call(atNew, "b"), "204");  // repeated after the exit of its owner: harmless
 }
 
 TEST_F(Replace, TwoInARowLeaveNobodyUnserved) {
@@ -157,7 +158,7 @@
 
 TEST_F(Replace, ALeftoverOfADeadProcessIsInNobodysWay) {
     unsigned short control = 0;
-    serving(control).reset();  // killed without a SIGTERM: its socket's file stays
+    serving(control).reset();  // killed without a SIGTERM: its socket file stays
     EXPECT_EQ(entriesOf(folder), 1u);
     const auto next = serving(control);
     EXPECT_EQ(entriesOf(folder), 1u);
@@ -194,8 +195,8 @@
     }
 }
 
-// Guards against a crowd of clients, or of callers that say nothing, keeping operators out: their places are
-// kept back.
+// Guards against many clients or silent connections keeping operators out: connections are reserved for
+// operators.
 TEST_F(Replace, OperatorsAreAnsweredWhileACrowdHoldsEveryOtherPlace) {
     std::string text = config(kSettings);
     text.replace(text.find("1024"), 4, "96");
@@ -217,14 +218,14 @@
     EXPECT_EQ(ask(control, "POST /control/in-service").substr(9, 3), "200");
     std::size_t descriptors = entriesOf("/proc/" + std::to_string(program.child) + "/fd");
     EXPECT_LE(descriptors, 96u);
-    EXPECT_GT(descriptors, 48u);  // the crowd is in
+    EXPECT_GT(descriptors, 48u);  // the clients are connected
     ::kill(program.child, SIGUSR1);
     std::string said = program.line();
     while (!said.empty() && said.find("control.pushed_out ") == std::string::npos) said = program.line();
-    EXPECT_GE(std::atoi(said.substr(said.rfind(' ') + 1).c_str()), 90) << said;  // of 100 mute ones, 8 places
+    EXPECT_GE(std::atoi(said.substr(said.rfind(' ') + 1).c_str()), 90) << said;  // 100 silent ones, limit 8
 }
 
-// The variable goes before the file, and a reload leaves the address as it is.
+// The environment variable overrides the settings file, and a reload does not change the address.
 TEST_F(Replace, TheOperatorsAddressIsTheVariablesAndWaitsForTheNextStart) {
     std::string text = config(kSettings);
     text.insert(1, R"("operator":"127.0.0.1:1",)");
@@ -237,12 +238,12 @@
     program.write(config(kSettings));
     ::kill(program.child, SIGHUP);
     EXPECT_NE(program.line().find("reloaded"), std::string::npos);
-    EXPECT_EQ(ask(control, "GET /control/ready").substr(9, 3), "503");  // out of service over the reload
+    EXPECT_EQ(ask(control, "GET /control/ready").substr(9, 3), "503");  // still out of service
     EXPECT_EQ(ask(control, "POST /control/in-service").substr(9, 3), "200");
     EXPECT_EQ(ask(control, "GET /control/ready").substr(9, 3), "200");
 }
 
-// Where nothing names them, the operators' address and the link cost nothing.
+// Without settings for them, the operators' interface and the link open no sockets.
 TEST_F(Replace, WithoutTheirSettingsNothingIsOpen) {
     Program program(config(kSettings), "{}", {{"TMPDIR", folder}});
     const unsigned short plain = program.portOf("listening on");
@@ -258,13 +259,13 @@
         }
         return found;
     };
-    const auto sockets = [&] {  // but for those that it was started with
+    const auto sockets = [&] {  // except inherited ones
         std::set<std::string> own = socketsOf(of);
         for (const std::string& name : socketsOf("/proc/self")) own.erase(name);
         return own.size();
     };
-    // The caller's connection goes, and between two tries at discovery the listener is all there is. One more
-    // that stays, and this would never come to be.
+    // The connection of the caller is closed, and between two calls to discovery only the listener is open.
+    // With any further socket the count would never be 1.
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (sockets() != 1 && std::chrono::steady_clock::now() < until) {
     }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,4 @@
-// The operators' address and the drain that can be taken back, fed bytes on a clock of the test's own.
+// Tests of the operators' HTTP interface and of the service state, without sockets and on a simulated clock.
 #include <gtest/gtest.h>
 
 #include "control/control.hpp"
@@ -10,7 +10,7 @@
 using control::Control;
 using service::Service;
 
-// Takes what a machine writes, and knows whether it was dropped.
+// Collects the output of a machine and records whether it was dropped.
 struct Wire : wire::Driver {
     explicit Wire(std::shared_ptr<wire::Machine> m) : machine(std::move(m)) { machine->attach(this); }
     ~Wire() override { machine->attach(nullptr); }
@@ -40,7 +40,7 @@
     std::string call(const std::string& line, const std::string& rest = "\r\n") {
         Wire caller(control.accept(now));
         const std::string answer = caller.say(now, line + " HTTP/1.1\r\nHost: x\r\n" + rest);
-        EXPECT_TRUE(caller.closed()) << answer;  // one call to a connection
+        EXPECT_TRUE(caller.closed()) << answer;  // one call per connection
         EXPECT_NE(answer.find("Connection: close"), std::string::npos) << answer;
         if (!caller.dropped) caller.machine->ended(now, End::peerClosed);
         return answer.substr(9);
@@ -59,7 +59,7 @@
     service.begin(now);
     EXPECT_EQ(call("GET /control/ready").substr(0, 3), "200");
     EXPECT_NE(call("GET /control/counters").find("router.forwards=7\n"), std::string::npos);
-    EXPECT_EQ(call("POST /control/in-service").substr(0, 3), "200");  // it was: a yes, and nothing changes
+    EXPECT_EQ(call("POST /control/in-service").substr(0, 3), "200");  // already in service: no change
     const Time since = service.since();
     pass(50ms);
     EXPECT_EQ(call("POST /control/out-of-service").substr(0, 3), "200");
@@ -72,7 +72,7 @@
     EXPECT_EQ(call("POST /control/in-service").substr(0, 3), "200");
     EXPECT_EQ(call("GET /control/ready").substr(0, 3), "200");
     service.end(now);
-    EXPECT_EQ(call("POST /control/in-service").substr(0, 3), "409");  // an end is not taken back
+    EXPECT_EQ(call("POST /control/in-service").substr(0, 3), "409");  // ending is final
     EXPECT_EQ(call("POST /control/out-of-service").substr(0, 3), "409");
     EXPECT_NE(call("GET /control/counters").find("router.forwards=7\n"), std::string::npos);
     EXPECT_EQ(control.open(), 0u);
@@ -107,7 +107,7 @@
     EXPECT_EQ(answer.substr(9, 3), "200");
 }
 
-// Guards against callers that hold a connection with no whole call: they go by themselves within 3 s.
+// Guards against connections without a complete request: they are closed within 3 s.
 TEST_F(ControlTest, EndsCallersThatNeverAsk) {
     Wire mute(control.accept(now)), half(control.accept(now));
     half.say(now, "GET /control/re");
@@ -119,32 +119,33 @@
     EXPECT_TRUE(half.closed());
 }
 
-// Guards against a crowd of them keeping a whole call out: who has shown least goes first, the oldest first.
+// Guards against many incomplete requests keeping a complete one out: those that have sent least are closed
+// first, the oldest of them before the others.
 TEST_F(ControlTest, PushesOutWhoHasShownLeast) {
     service.begin(now);
     std::vector<std::unique_ptr<Wire>> crowd;
     for (int i = 0; i < 8; ++i) {
         crowd.push_back(std::make_unique<Wire>(control.accept(now)));
-        if (i < 2) crowd.back()->say(now, "GET /con");  // the two oldest have begun
+        if (i < 2) crowd.back()->say(now, "GET /con");  // the two oldest have sent part of a request
     }
-    EXPECT_EQ(control.open(), control.places());
+    EXPECT_EQ(control.open(), control.maxConnections());
     EXPECT_EQ(call("GET /control/ready").substr(0, 3), "200");
     EXPECT_TRUE(crowd[2]->dropped);
     EXPECT_FALSE(crowd[0]->dropped || crowd[3]->dropped);
     for (int i = 0; i < 100; ++i) {
         crowd.push_back(std::make_unique<Wire>(control.accept(now)));
-        EXPECT_LE(control.open(), control.places());
+        EXPECT_LE(control.open(), control.maxConnections());
     }
-    EXPECT_FALSE(crowd[0]->dropped);  // still ahead of all who have said nothing
-    EXPECT_EQ(control.counters().pushedOut, 100u);
+    EXPECT_FALSE(crowd[0]->dropped);  // kept longer than silent connections
+    EXPECT_EQ(control.counters().evicted, 100u);
 }
 
 TEST(ServiceTest, AnEndIsFinalAndADrainOfTheStartIsKept) {
     Time now{1};
     Service service;
     std::vector<std::string> heard;
-    service.listen([&](Time, service::Standing was) {
-        heard.push_back(std::string(nameOf(was)) + " > " + nameOf(service.standing()));
+    service.subscribe([&](Time, service::ServiceState was) {
+        heard.push_back(std::string(nameOf(was)) + " > " + nameOf(service.state()));
     });
     EXPECT_TRUE(service.outOfService(now));  // before it was ever in service
     EXPECT_FALSE(service.ready());
--- a/tests/start_test.cpp
+++ b/tests/start_test.cpp
@@ -1,4 +1,4 @@
-// A start: turns at the list service, and what a dispatcher waits for before it says yes.
+// Tests of the start: scheduling of calls to the list service, and the readiness gate.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,20 +14,20 @@
 
 constexpr Time kNoon = std::chrono::hours(500'000);
 
-Turns turnsOf(std::uint32_t fleet, std::uint32_t me, Pace pace = {}) {
-    return Turns({fleet, me, pace, 5s, 10s}, me + 1);
+CallSchedule scheduleOf(std::uint32_t fleet, std::uint32_t me, Pace pace = {}) {
+    return CallSchedule({fleet, me, pace, 5s, 10s}, me + 1);
 }
 
-// However they start, a fleet's calls come one after the other at the pace that is believed in: in no tenth
-// of a round more than its tenth and two.
+// The calls of a fleet are spread over a round: no tenth of the round has more than a tenth of the calls plus
+// two.
 TEST(Turns, AFleetThatStartsTogetherCallsOneByOne) {
     for (const std::uint32_t fleet : {1u, 3u, 30u, 100u, 300u}) {
         std::map<Nanos::rep, int> tenths;
         Nanos round{0};
         for (std::uint32_t me = 0; me < fleet; ++me) {
-            Turns turns = turnsOf(fleet, me);
-            round = turns.round();
-            const Time started = kNoon + 7ms * (me % 70), at = turns.first(started, false);
+            CallSchedule schedule = scheduleOf(fleet, me);
+            round = schedule.round();
+            const Time started = kNoon + 7ms * (me % 70), at = schedule.firstTurn(started, false);
             EXPECT_GE(at, started);
             EXPECT_LE(at, started + round);
             ++tenths[at / (round / 10)];
@@ -38,53 +38,54 @@
 }
 
 TEST(Turns, TheWatchBeginsARoundAfterTheList) {
-    Turns turns = turnsOf(100, 42);
-    const Time at = turns.first(kNoon, false);
-    turns.answered(45ms);
-    const Time watch = turns.later(at + 45ms);
+    CallSchedule schedule = scheduleOf(100, 42);
+    const Time at = schedule.firstTurn(kNoon, false);
+    schedule.answered(45ms);
+    const Time watch = schedule.watchTurn(at + 45ms);
     EXPECT_GE(watch - at, 3900ms);
     EXPECT_LE(watch - at, 4100ms);
 }
 
-// After an outage nobody comes sooner than its turn, and one call a round: a service that was quick is called
-// again the sooner for it.
+// After an outage each dispatcher waits for its turn and makes one call per round. A faster service has
+// shorter rounds.
 TEST(Turns, AnOutageIsAskedAboutInTurn) {
     std::map<Nanos::rep, int> seconds;
     for (std::uint32_t me = 0; me < 200; ++me) {
-        Turns turns = turnsOf(200, me);
-        turns.first(kNoon, true);
-        turns.answered(5ms);
+        CallSchedule schedule = scheduleOf(200, me);
+        schedule.firstTurn(kNoon, true);
+        schedule.answered(5ms);
         Time at = kNoon + 20s;
         while (at < kNoon + 40s) {
-            const Time next = turns.after(at, Loss::refused, Time(0));
+            const Time next = schedule.turnAfterFailure(at, CallFailure::refused, Time(0));
             EXPECT_GT(next, at);
             at = next;
             ++seconds[at / 1s];
         }
     }
-    for (const auto& [second, calls] : seconds) EXPECT_LE(calls, 140) << second;  // 10 ms each are believed
+    for (const auto& [second, calls] : seconds) EXPECT_LE(calls, 140) << second;  // 10 ms per call
 }
 
 TEST(Turns, ABusyServiceIsCalledHalfAsOftenAndNotBeforeItSays) {
-    Turns turns = turnsOf(50, 3);
-    const Time at = turns.first(kNoon, true);
-    EXPECT_EQ(turns.round(), 2s);
-    const Time next = turns.after(at, Loss::busy, at + 3s);
+    CallSchedule schedule = scheduleOf(50, 3);
+    const Time at = schedule.firstTurn(kNoon, true);
+    EXPECT_EQ(schedule.round(), 2s);
+    const Time next = schedule.turnAfterFailure(at, CallFailure::busy, at + 3s);
     EXPECT_GE(next, at + 3s);
-    EXPECT_EQ(turns.round(), 4s);
-    turns.after(next, Loss::busy, Time(0)), turns.after(next + 5s, Loss::busy, Time(0));
-    EXPECT_EQ(turns.round(), 5s);  // what is new has to be heard of
-    for (int i = 0; i < 100; ++i) turns.answered(60ms);
-    EXPECT_LE(turns.round(), 4s);  // and step by step back
+    EXPECT_EQ(schedule.round(), 4s);
+    schedule.turnAfterFailure(next, CallFailure::busy, Time(0)),
+        schedule.turnAfterFailure(next + 5s, CallFailure::busy, Time(0));
+    EXPECT_EQ(schedule.round(), 5s);  // limited, since changes must be noticed in time
+    for (int i = 0; i < 100; ++i) schedule.answered(60ms);
+    EXPECT_LE(schedule.round(), 4s);  // decreases step by step
 }
 
-// Guards against a few dispatchers that call a service which is away many times a second.
+// Guards against a small fleet calling an unreachable service many times a second.
 TEST(Turns, AFewBackOffToASecond) {
-    Turns turns = turnsOf(3, 1);
-    Time at = turns.first(kNoon, false);
+    CallSchedule schedule = scheduleOf(3, 1);
+    Time at = schedule.firstTurn(kNoon, false);
     EXPECT_LE(at, kNoon + 120ms);
     int calls = 0;
-    for (; at < kNoon + 20s; ++calls) at = turns.after(at, Loss::refused, Time(0));
+    for (; at < kNoon + 20s; ++calls) at = schedule.turnAfterFailure(at, CallFailure::refused, Time(0));
     EXPECT_LE(calls, 40);
     EXPECT_GE(calls, 15);
 }
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -1,5 +1,5 @@
-// The link between the old and the new process, and what each does by it: fed bytes, on a clock of the test's
-// own, with any number of processes in one.
+// Tests of the link between the old and the new process of a dispatcher, without sockets, on a simulated
+// clock and with any number of simulated processes.
 #include "takeover/takeover.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using takeover::Link;
 using takeover::Takeover;
 
-// Both ends of a connection. Bytes go over in pieces when carry() is called, so a test can stop between.
+// Both ends of a connection. carry() transfers bytes in pieces, so a test can stop between them.
 struct Pipe : wire::Driver {
     Pipe(std::shared_ptr<wire::Machine> from, std::shared_ptr<wire::Machine> to)
         : ends{std::move(from), std::move(to)} {
@@ -55,7 +55,7 @@
     bool broken = false, over = false;
 };
 
-// One process of a dispatcher, less everything but the link.
+// One process of a dispatcher, reduced to its part in the takeover.
 struct Process {
     Process(Deadlines& deadlines, const std::string& farm, const std::string& name = "n0")
         : list(farm),
@@ -83,7 +83,7 @@
 };
 
 struct TakeoverTest : testing::Test {
-    // Connects a new process to whoever listens, as main does.
+    // Connects a new process to the listening one, as main() does.
     Pipe& join(Process& comes, Process& serves) {
         auto link = comes.takeover.begin(now);
         auto accepted = serves.takeover.accept(now);
@@ -102,10 +102,10 @@
     }
     std::string ask(Process& at, const std::string& body) {
         auto heard = std::make_shared<std::string>("none");
-        at.takeover.elsewhere(now, body, [heard](Time, Link::Word word) {
+        at.takeover.elsewhere(now, body, [heard](Time, Link::CallbackResult word) {
             EXPECT_EQ(*heard, "none");  // once
-            *heard = word == Link::Word::owned     ? "owned"
-                     : word == Link::Word::nobodys ? "nobodys"
+            *heard = word == Link::CallbackResult::owned     ? "owned"
+                     : word == Link::CallbackResult::unowned ? "unowned"
                                                    : "unknown";
         });
         settle();
@@ -124,17 +124,17 @@
     old.ids = {"a", "b"};
     EXPECT_TRUE(old.accepts && old.service.ready());
     join(fresh, old);
-    EXPECT_FALSE(fresh.service.ready() || fresh.accepts);  // link not tried yet
+    EXPECT_FALSE(fresh.service.ready() || fresh.accepts);  // the link is not used yet
     settle();
     EXPECT_TRUE(fresh.service.ready() && fresh.accepts);
     EXPECT_EQ(fresh.list, "farm");
     EXPECT_EQ(fresh.inherited, old.ids);
     EXPECT_EQ(fresh.listens, 1);
     EXPECT_FALSE(old.accepts);
-    EXPECT_TRUE(old.service.succeeded() && old.service.ready());
+    EXPECT_TRUE(old.service.hasSuccessor() && old.service.ready());
 }
 
-// A new one is in service whatever the old one was told: it must say yes.
+// A new process is in service even if the old one is drained, since it must report itself ready.
 TEST_F(TakeoverTest, ANewOneBesideADrainedOneIsInService) {
     serve(old);
     old.service.outOfService(now);
@@ -149,8 +149,8 @@
     join(fresh, old), settle();
     EXPECT_EQ(ask(fresh, "of the old"), "owned");
     EXPECT_EQ(ask(old, "of the new"), "owned");
-    EXPECT_EQ(ask(fresh, "of nobody"), "nobodys");
-    old.service.end(now);  // before SIGTERM and after it alike
+    EXPECT_EQ(ask(fresh, "of nobody"), "unowned");
+    old.service.end(now);  // the same as before SIGTERM
     EXPECT_EQ(ask(fresh, "of the old"), "owned");
     EXPECT_EQ(old.taken, (std::vector<std::string>{"of the old", "of the old"}));
     EXPECT_EQ(fresh.taken, std::vector<std::string>{"of the new"});
@@ -161,24 +161,25 @@
     Pipe& pipe = join(fresh, old);
     settle();
     std::string heard;
-    fresh.takeover.elsewhere(now, "late", [&](Time, Link::Word word) {
-        heard += word == Link::Word::nobodys ? "nobodys" : "else";
+    fresh.takeover.elsewhere(now, "late", [&](Time, Link::CallbackResult word) {
+        heard += word == Link::CallbackResult::unowned ? "unowned" : "else";
     });
     pipe.cut(now);
-    EXPECT_EQ(heard, "nobodys");
+    EXPECT_EQ(heard, "unowned");
     EXPECT_TRUE(fresh.accepts);
-    EXPECT_EQ(ask(fresh, "later"), "nobodys");
+    EXPECT_EQ(ask(fresh, "later"), "unowned");
 }
 
-// Guards against a peer that stalls keeping a job server's call open: it is answered so that it comes again.
+// A stalled peer must not keep the callback of a job server open: it is answered so that the server repeats
+// it.
 TEST_F(TakeoverTest, AStalledProcessLeavesCallsUnanswered) {
     serve(old);
     join(fresh, old), settle();
-    pipes.clear();  // nothing goes over any more, and nobody is told
+    pipes.clear();  // transfers nothing more, without notice
     EXPECT_EQ(ask(fresh, "x"), "unknown");
-    for (std::size_t i = 0; i < Link::kMostAsked + 10; ++i)
-        fresh.takeover.elsewhere(now, "x", [](Time, Link::Word) {});
-    EXPECT_GE(fresh.takeover.counters().unknown, 11u);  // bounded, and those beyond are told at once
+    for (std::size_t i = 0; i < Link::kMaxPendingCallbacks + 10; ++i)
+        fresh.takeover.elsewhere(now, "x", [](Time, Link::CallbackResult) {});
+    EXPECT_GE(fresh.takeover.counters().unknown, 11u);  // limited: further calls are answered at once
 }
 
 TEST_F(TakeoverTest, TheOldOneTakesClientsAgainWhenTheNewOneGoesBeforeTheEnd) {
@@ -186,26 +187,26 @@
     Pipe& unready = join(fresh, old);
     unready.cut(now);  // killed before it was ready
     EXPECT_TRUE(old.accepts);
-    EXPECT_FALSE(old.service.succeeded());
+    EXPECT_FALSE(old.service.hasSuccessor());
     Process second(deadlines, "");
     Pipe& ready = join(second, old);
     settle();
     EXPECT_FALSE(old.accepts);
     ready.cut(now);
     EXPECT_TRUE(old.accepts);
-    EXPECT_FALSE(old.service.succeeded());
-    EXPECT_EQ(old.listens, 2);  // the name has to be its own again
+    EXPECT_FALSE(old.service.hasSuccessor());
+    EXPECT_EQ(old.listens, 2);  // it listens at the link address again
     Process third(deadlines, "");
     Pipe& last = join(third, old);
     settle();
     old.service.end(now);
     last.cut(now);
-    EXPECT_FALSE(old.accepts);  // it ends: nobody new
+    EXPECT_FALSE(old.accepts);  // it is ending: no new clients
 }
 
 TEST_F(TakeoverTest, ANewOneBeginsColdWithoutAPredecessor) {
     const auto link = fresh.takeover.begin(now);
-    link->ended(now, End::connectRefused);  // no file, or a dead process's
+    link->ended(now, End::connectRefused);  // no socket file, or that of a dead process
     EXPECT_TRUE(fresh.service.ready() && fresh.accepts);
     EXPECT_EQ(fresh.said, "");
     EXPECT_EQ(fresh.takeover.counters().cold, 1u);
@@ -236,7 +237,7 @@
     }
 }
 
-// Guards against processes that connect, greet and never go on.
+// Guards against a predecessor that completes the handshake and sends nothing more.
 TEST_F(TakeoverTest, AFarmThatNeverComesIsNotWaitedFor) {
     serve(old);
     const auto link = fresh.takeover.begin(now);
@@ -254,7 +255,7 @@
     serve(old);
     std::vector<std::shared_ptr<wire::Machine>> crowd;
     for (int i = 0; i < 10; ++i) crowd.push_back(old.takeover.accept(now));
-    EXPECT_EQ(std::count(crowd.begin(), crowd.end(), nullptr), 10 - static_cast<int>(Takeover::kMostLinks));
+    EXPECT_EQ(std::count(crowd.begin(), crowd.end(), nullptr), 10 - static_cast<int>(Takeover::kMaxLinks));
     pass(1100ms);
     EXPECT_FALSE(old.takeover.linked());
     EXPECT_TRUE(old.accepts);
@@ -275,7 +276,7 @@
             if (at->owns.count(body)) continue;
             EXPECT_EQ(ask(*at, body), "owned") << body;
         }
-    EXPECT_EQ(ask(third, "nobody's"), "nobodys");
+    EXPECT_EQ(ask(third, "nobody's"), "unowned");
 }
 
 TEST_F(TakeoverTest, EachKnowsWhatTheOtherHolds) {
@@ -291,8 +292,8 @@
     EXPECT_EQ(fresh.takeover.descriptors(), 0u);
 }
 
-// Random steps over many replacements, in pieces of any size: each call gets one word, and an owner that
-// lives and is linked has it.
+// Random steps over many replacements, with transfers of random size: each call gets exactly one answer, and
+// some of them reach their owner.
 TEST_F(TakeoverTest, RandomCallsAndReplacementsKeepEveryCallToOneWord) {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 random(seed);
@@ -318,8 +319,9 @@
                     ++heard, ++owned;
                     continue;
                 }
-                at.takeover.elsewhere(
-                    now, body, [&](Time, Link::Word word) { ++heard, owned += word == Link::Word::owned; });
+                at.takeover.elsewhere(now, body, [&](Time, Link::CallbackResult word) {
+                    ++heard, owned += word == Link::CallbackResult::owned;
+                });
             }
             for (const auto& pipe : pipes) pipe->carry(now, 1 + random() % 900);
             deadlines.sweep(now += 7ms);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -1,5 +1,5 @@
-// A dispatcher's core on a clock of the test's own, and the scenarios' words for any front: clients that
-// submit and leave, servers that hold jobs until the scenario says how they end.
+// A core on a simulated clock, and the operations of test scenarios for any front: clients submit jobs and
+// leave, servers hold jobs until the scenario decides how they end.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
     std::string body;
 };
 
-// A job as an application server's stand-in has it; how it ends is the scenario's to say.
+// A job held by a fake application server; the scenario decides how it ends.
 struct Held {
     std::string className, body;
     std::function<void(std::string)> complete;
@@ -52,13 +52,13 @@
     virtual std::size_t addServer() = 0;
     virtual void drain(std::size_t server) = 0;
     virtual void vanish(std::size_t server) = 0;
-    virtual void refresh() {}  // `seen`, where it isn't written as answers come
+    virtual void refresh() {}  // updates `seen`, for fronts that don't do so as answers arrive
 
     std::vector<Seen> seen;
     std::vector<std::deque<Held>> held;  // by server
 
     bool until(const std::function<bool()>& done) {
-        const auto guard = std::chrono::steady_clock::now() + 10s;  // a failure's bound, not a proof
+        const auto guard = std::chrono::steady_clock::now() + 10s;  // limits the wait of a failing test
         while (!done() && std::chrono::steady_clock::now() < guard) loop.poll();
         return done();
     }
@@ -80,7 +80,7 @@
         held[server].pop_front();
         return job;
     }
-    std::size_t holder() {  // a server that has a job
+    std::size_t holder() {  // index of a server that holds a job
         EXPECT_TRUE(until([&] { return total() > 0; }));
         std::size_t at = 0;
         while (at + 1 < held.size() && held[at].empty()) ++at;
