--- a/apps/ambercluster/roles.cpp
+++ b/apps/ambercluster/roles.cpp
@@ -158,7 +158,7 @@
 private:
     void check() {
         const SteadyTime now = loop_.now();
-        if (front_.openRequests() > 0 || !node_.quiet()) quiet_since_ = now;
+        if (front_.openRequests() > 0 || !node_.isIdle()) quiet_since_ = now;
         if (now - quiet_since_ >= kQuietBeforeExit || now >= give_up_at_) return loop_.stop();
         timer_ = loop_.after(kExitCheck, [this] { check(); });
     }
@@ -253,7 +253,7 @@
     const Incarnation incarnation = drawIncarnation();
     EdgeNode node(loop, exchange.transport, servers, settings, incarnation);
     EvhttpServer front(loop, *settings.front, [&node](const HttpRequest& request, HttpResponder respond) {
-        node.handleFront(request, std::move(respond));
+        node.handleClientRequest(request, std::move(respond));
     });
     EvhttpServer readiness(loop, *settings.readiness,
                            [&node](const HttpRequest& request, HttpResponder respond) {
--- a/bench/cluster_message_bench.cpp
+++ b/bench/cluster_message_bench.cpp
@@ -33,7 +33,7 @@
     settings.last_port = static_cast<std::uint16_t>(ports.internal.port + 1);
     EdgeNode node(loop, transport, servers, settings, 1);
     EvhttpServer front(loop, ports.front, [&node](const HttpRequest& request, HttpResponder respond) {
-        node.handleFront(request, std::move(respond));
+        node.handleClientRequest(request, std::move(respond));
     });
     node.start();
     node.setEdgeShare({1, 1, 0});
--- a/src/cluster/edge/callbacks.cpp
+++ b/src/cluster/edge/callback_sender.cpp
@@ -1,4 +1,4 @@
-#include "cluster/edge/callbacks.hpp"
+#include "cluster/edge/callback_sender.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -10,14 +10,14 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kMostOpen = 2000;
-constexpr Millis kCallTimeout{3000};
-constexpr Millis kGiveUpAfter{8000};
+constexpr std::size_t kMaxOpenCallbacks = 2000;
+constexpr Millis kRequestTimeout{3000};
+constexpr Millis kDeliveryTimeout{8000};
 constexpr Millis kFirstBackoff{100};
-constexpr Millis kLongestBackoff{2000};
+constexpr Millis kMaxBackoff{2000};
 constexpr std::string_view kScheme = "http://";
 
-std::string bodyOf(const CallbackWork& work) {
+std::string jsonBody(const CallbackJob& job) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
     const auto text = [&writer](const std::string& value) {
@@ -25,12 +25,12 @@
     };
     writer.StartObject();
     writer.Key("uid");
-    text(work.id);
+    text(job.id);
     writer.Key("phase");
-    writer.String(work.phase == Phase::completed ? "completed" : "dead_letter");
-    if (work.phase == Phase::completed) {
+    writer.String(job.phase == Phase::completed ? "completed" : "dead_letter");
+    if (job.phase == Phase::completed) {
         writer.Key("stamp");
-        text(work.stamp);
+        text(job.stamp);
     }
     writer.EndObject();
     return {buffer.GetString(), buffer.GetSize()};
@@ -58,106 +58,106 @@
     return parsed;
 }
 
-Callbacks::Callbacks(Scheduler& scheduler, HttpClient& http, EdgeCounters& counters, std::uint64_t seed,
-                     Ended ended)
+CallbackSender::CallbackSender(Scheduler& scheduler, HttpClient& http, EdgeCounters& counters,
+                               std::uint64_t seed, DoneHandler on_done)
     : scheduler_(scheduler),
       http_(http),
       counters_(counters),
       random_(seed),
-      ended_(std::move(ended)),
+      on_done_(std::move(on_done)),
       plan_(planCallbacks(1)) {}
 
-void Callbacks::setEdges(std::uint32_t edges) {
+void CallbackSender::setEdgeCount(std::uint32_t edges) {
     plan_ = planCallbacks(edges);
 }
 
-bool Callbacks::hasRoom() const {
-    return !leaving_ && open_ < kMostOpen;
+bool CallbackSender::hasRoom() const {
+    return !leaving_ && open_ < kMaxOpenCallbacks;
 }
 
-void Callbacks::begin(CallbackWork work) {
+void CallbackSender::enqueue(CallbackJob job) {
     ++open_;
-    const std::optional<CallbackUrl> url = parseCallbackUrl(work.url);
-    if (!url || leaving_ || open_ > kMostOpen) {
+    const std::optional<CallbackUrl> url = parseCallbackUrl(job.url);
+    if (!url || leaving_ || open_ > kMaxOpenCallbacks) {
         // Nobody can be told at a URL that is none; the message's end stands all the same.
-        const bool taken = !url;
-        scheduler_.post([this, work = std::move(work), taken] { end(work, taken); });
+        const bool delivered = !url;
+        scheduler_.post([this, job = std::move(job), delivered] { finish(job, delivered); });
         return;
     }
-    Item item;
-    item.work = std::move(work);
-    item.give_up_at = scheduler_.now() + kGiveUpAfter;
+    QueuedCallback item;
+    item.job = std::move(job);
+    item.expires_at = scheduler_.now() + kDeliveryTimeout;
     receivers_[url->address].queue.push_back(std::move(item));
-    pump(url->address);
+    sendDue(url->address);
 }
 
-void Callbacks::leave() {
+void CallbackSender::leave() {
     leaving_ = true;
     for (auto& [address, receiver] : receivers_) {
-        const std::deque<Item> queue = std::exchange(receiver.queue, {});
+        const std::deque<QueuedCallback> queue = std::exchange(receiver.queue, {});
         receiver.timer.reset();
-        for (const Item& item : queue) end(item.work, false);
+        for (const QueuedCallback& item : queue) finish(item.job, false);
     }
 }
 
-std::size_t Callbacks::allowed(const Receiver& receiver) const {
+std::size_t CallbackSender::maxConnections(const Receiver& receiver) const {
     // One that refused connections gets a single one until it has answered.
     if (receiver.failures > 0) return 1;
     return plan_.connections_per_sender;
 }
 
-void Callbacks::pump(NodeAddress address) {
+void CallbackSender::sendDue(NodeAddress address) {
     Receiver& receiver = receivers_[address];
-    expire(receiver);
+    dropExpired(receiver);
     const SteadyTime now = scheduler_.now();
     if (now >= receiver.paused_until) {
         for (auto next = receiver.queue.begin(); next != receiver.queue.end();) {
-            if (receiver.in_flight >= allowed(receiver)) break;
+            if (receiver.in_flight >= maxConnections(receiver)) break;
             if (next->not_before > now) {
                 ++next;
                 continue;
             }
-            Item item = std::move(*next);
+            QueuedCallback item = std::move(*next);
             next = receiver.queue.erase(next);
             post(address, receiver, std::move(item));
         }
     }
-    arm(address, receiver);
+    armTimer(address, receiver);
     if (receiver.queue.empty() && receiver.in_flight == 0) receivers_.erase(address);
 }
 
-void Callbacks::expire(Receiver& receiver) {
+void CallbackSender::dropExpired(Receiver& receiver) {
     const SteadyTime now = scheduler_.now();
-    std::vector<CallbackWork> late;
-    std::erase_if(receiver.queue, [&](Item& item) {
-        if (item.give_up_at > now) return false;
-        late.push_back(std::move(item.work));
+    std::vector<CallbackJob> expired_jobs;
+    std::erase_if(receiver.queue, [&](QueuedCallback& item) {
+        if (item.expires_at > now) return false;
+        expired_jobs.push_back(std::move(item.job));
         return true;
     });
-    for (const CallbackWork& work : late) end(work, false);
+    for (const CallbackJob& job : expired_jobs) finish(job, false);
 }
 
-void Callbacks::post(const NodeAddress& address, Receiver& receiver, Item item) {
+void CallbackSender::post(const NodeAddress& address, Receiver& receiver, QueuedCallback item) {
     ++receiver.in_flight;
     ++counters_.callback_posts;
     HttpCall call;
     call.to = address;
-    call.timeout = kCallTimeout;
+    call.timeout = kRequestTimeout;
     call.max_connections = plan_.connections_per_sender;
     call.request.method = "POST";
-    call.request.target = parseCallbackUrl(item.work.url)->target;
+    call.request.target = parseCallbackUrl(item.job.url)->target;
     call.request.headers = {{"Host", address.text()}, {"Content-Type", "application/json"}};
-    call.request.body = bodyOf(item.work);
+    call.request.body = jsonBody(item.job);
     http_.send(std::move(call), [this, address, kept = std::move(item)](const HttpOutcome& outcome) mutable {
-        answered(address, std::move(kept), outcome);
+        onOutcome(address, std::move(kept), outcome);
     });
 }
 
-void Callbacks::answered(const NodeAddress& address, Item item, const HttpOutcome& outcome) {
+void CallbackSender::onOutcome(const NodeAddress& address, QueuedCallback item, const HttpOutcome& outcome) {
     Receiver& receiver = receivers_[address];
     --receiver.in_flight;
     const bool answered = outcome.verdict == CallStatus::answered;
-    const bool taken = answered && (outcome.response.status == 200 || outcome.response.status == 400);
+    const bool delivered = answered && (outcome.response.status == 200 || outcome.response.status == 400);
     // A receiver resets connections beyond those that it takes, also after it has let them connect.
     const bool refused = !answered && !outcome.timed_out;
     if (refused) {
@@ -166,39 +166,39 @@
     } else if (answered) {
         receiver.failures = 0;
     }
-    if (taken || leaving_) {
-        end(item.work, taken);
+    if (delivered || leaving_) {
+        finish(item.job, delivered);
     } else {
         ++item.failures;
         item.not_before = scheduler_.now() + backoff(item.failures);
         receiver.queue.push_front(std::move(item));
     }
-    pump(address);
+    sendDue(address);
 }
 
-void Callbacks::arm(const NodeAddress& address, Receiver& receiver) {
+void CallbackSender::armTimer(const NodeAddress& address, Receiver& receiver) {
     receiver.timer.reset();
     if (receiver.queue.empty()) return;
-    if (receiver.in_flight >= allowed(receiver)) return;  // the next answer goes on
+    if (receiver.in_flight >= maxConnections(receiver)) return;  // the next answer goes on
     SteadyTime next = SteadyTime::max();
-    for (const Item& item : receiver.queue) {
-        next = std::min(next, std::min(item.give_up_at, std::max(item.not_before, receiver.paused_until)));
+    for (const QueuedCallback& item : receiver.queue) {
+        next = std::min(next, std::min(item.expires_at, std::max(item.not_before, receiver.paused_until)));
     }
     const auto wait = std::chrono::ceil<Millis>(next - scheduler_.now());
-    receiver.timer = scheduler_.after(std::max(wait, Millis(1)), [this, to = address] { pump(to); });
+    receiver.timer = scheduler_.after(std::max(wait, Millis(1)), [this, to = address] { sendDue(to); });
 }
 
-void Callbacks::end(const CallbackWork& work, bool taken) {
+void CallbackSender::finish(const CallbackJob& job, bool delivered) {
     --open_;
-    ++(taken ? counters_.callbacks_taken : counters_.callbacks_failed);
-    ended_(work, taken);
+    ++(delivered ? counters_.callbacks_taken : counters_.callbacks_failed);
+    on_done_(job, delivered);
 }
 
-Millis Callbacks::backoff(int failures) {
+Millis CallbackSender::backoff(int failures) {
     const int doublings = std::min(failures - 1, 10);
-    const Millis longest = std::min(kLongestBackoff, kFirstBackoff * (1 << doublings));
+    const Millis max_delay = std::min(kMaxBackoff, kFirstBackoff * (1 << doublings));
     const double jitter = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
-    return Millis(static_cast<std::int64_t>(jitter * static_cast<double>(longest.count())));
+    return Millis(static_cast<std::int64_t>(jitter * static_cast<double>(max_delay.count())));
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/callbacks.hpp
+++ b/src/cluster/edge/callback_sender.hpp
@@ -26,7 +26,7 @@
 };
 std::optional<CallbackUrl> parseCallbackUrl(const std::string& url);
 
-struct CallbackWork {
+struct CallbackJob {
     PartitionId partition = 0;
     MessageId id;
     Epoch epoch = 0;
@@ -36,54 +36,54 @@
     std::string stamp;
 };
 
-class Callbacks {
+class CallbackSender {
 public:
     // Told once for each work; taken: the receiver answered 200 or 400. Never inside begin().
-    using Ended = std::function<void(const CallbackWork&, bool taken)>;
+    using DoneHandler = std::function<void(const CallbackJob&, bool delivered)>;
 
-    Callbacks(Scheduler& scheduler, HttpClient& http, EdgeCounters& counters, std::uint64_t seed,
-              Ended ended);
+    CallbackSender(Scheduler& scheduler, HttpClient& http, EdgeCounters& counters, std::uint64_t seed,
+                   DoneHandler on_done);
 
-    void setEdges(std::uint32_t edges);
+    void setEdgeCount(std::uint32_t edges);
     bool hasRoom() const;
     // Whether the call-back of a run that ended here may begin here. Where not all edges may connect to a
     // receiver, its owner grants it to one of those that may.
-    bool mayBeginUngranted() const { return hasRoom() && plan_.all_send; }
-    void begin(CallbackWork work);
+    bool mayStartWithoutGrant() const { return hasRoom() && plan_.all_send; }
+    void enqueue(CallbackJob job);
     // This process ends: what is not on its way is handed back as failed, and nothing is tried again.
     void leave();
     // Works that have no end yet.
-    std::size_t open() const { return open_; }
+    std::size_t openCount() const { return open_; }
 
 private:
-    struct Item {
-        CallbackWork work;
-        SteadyTime give_up_at{};
+    struct QueuedCallback {
+        CallbackJob job;
+        SteadyTime expires_at{};
         SteadyTime not_before{};
         int failures = 0;
     };
     struct Receiver {
-        std::deque<Item> queue;
+        std::deque<QueuedCallback> queue;
         std::size_t in_flight = 0;
         int failures = 0;  // connections refused in a row
         SteadyTime paused_until{};
         TimerHandle timer;
     };
 
-    void pump(NodeAddress address);
-    std::size_t allowed(const Receiver& receiver) const;
-    void expire(Receiver& receiver);
-    void post(const NodeAddress& address, Receiver& receiver, Item item);
-    void answered(const NodeAddress& address, Item item, const HttpOutcome& outcome);
-    void arm(const NodeAddress& address, Receiver& receiver);
-    void end(const CallbackWork& work, bool taken);
+    void sendDue(NodeAddress address);
+    std::size_t maxConnections(const Receiver& receiver) const;
+    void dropExpired(Receiver& receiver);
+    void post(const NodeAddress& address, Receiver& receiver, QueuedCallback item);
+    void onOutcome(const NodeAddress& address, QueuedCallback item, const HttpOutcome& outcome);
+    void armTimer(const NodeAddress& address, Receiver& receiver);
+    void finish(const CallbackJob& job, bool delivered);
     Millis backoff(int failures);
 
     Scheduler& scheduler_;
     HttpClient& http_;
     EdgeCounters& counters_;
     std::mt19937_64 random_;
-    Ended ended_;
+    DoneHandler on_done_;
     std::map<NodeAddress, Receiver> receivers_;
     CallbackPlan plan_;
     std::size_t open_ = 0;
--- a/src/cluster/edge/front.cpp
+++ b/src/cluster/edge/client_request_handler.cpp
@@ -1,20 +1,20 @@
-#include "cluster/edge/front.hpp"
+#include "cluster/edge/client_request_handler.hpp"
 
 #include <charconv>
 #include <string_view>
 #include <utility>
 
-#include "cluster/edge/callbacks.hpp"
+#include "cluster/edge/callback_sender.hpp"
 #include "cluster/edge/message_ref.hpp"
 
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kMostOpenAccepts = 400;
+constexpr std::size_t kMaxOpenSubmissions = 400;
 constexpr std::string_view kStatePrefix = "/message/";
 constexpr std::string_view kBodyPrefix = "/message-body/";
 constexpr std::string_view kConfigurationPath = "/Config.Read";
-constexpr PartitionId kWidestPartition = 9999;  // for the check that the id fits into a reference
+constexpr PartitionId kMaxPartition = 9999;  // for the check that the id fits into a reference
 
 std::string_view pathOf(std::string_view target) {
     return target.substr(0, target.find('?'));
@@ -29,15 +29,15 @@
     return value;
 }
 
-std::optional<Millis> deadlineOf(const HttpRequest& request) {
+std::optional<Millis> parseDeadline(const HttpRequest& request) {
     const auto millis = parseMillis(headerValue(request.headers, "Deadline-Ms"));
     if (!millis) return std::nullopt;
     return Millis(*millis);
 }
 
 // Nothing where a header makes no sense.
-std::optional<MessageContent> contentOf(const HttpRequest& request, const Route& route,
-                                        const Configuration& configuration) {
+std::optional<MessageContent> parseContent(const HttpRequest& request, const Route& route,
+                                           const Configuration& configuration) {
     MessageContent content;
     content.id = headerValue(request.headers, "Request-Id");
     content.order_scope = route.orderScope();
@@ -49,7 +49,7 @@
     content.order_key = headerValue(request.headers, "Order-Key");
     content.ordered = route.ordered && !content.order_key.empty();
     content.config_generation = configuration.generation;
-    if (content.id.empty() || !formatMessageRef(kWidestPartition, content.id)) return std::nullopt;
+    if (content.id.empty() || !formatMessageRef(kMaxPartition, content.id)) return std::nullopt;
     if (const std::string_view delay = headerValue(request.headers, "Delay-Ms"); !delay.empty()) {
         const auto millis = parseMillis(delay);
         if (!millis) return std::nullopt;
@@ -64,11 +64,11 @@
 
 }  // namespace
 
-void Front::onConfiguration(std::shared_ptr<const Configuration> configuration) {
+void ClientRequestHandler::onConfiguration(std::shared_ptr<const Configuration> configuration) {
     configuration_ = std::move(configuration);
 }
 
-void Front::handle(const HttpRequest& request, HttpResponder respond) {
+void ClientRequestHandler::handle(const HttpRequest& request, HttpResponder respond) {
     if (leaving_) {
         respond = [answer = std::move(respond)](HttpResponse response) {
             response.close = true;
@@ -90,30 +90,30 @@
     handleMessage(request, respond);
 }
 
-bool Front::hasRoute(const HttpRequest& request) const {
+bool ClientRequestHandler::hasRoute(const HttpRequest& request) const {
     if (!configuration_) return false;
     return configuration_->match(headerValue(request.headers, "Host"), pathOf(request.target)) != nullptr;
 }
 
-void Front::handleMessage(const HttpRequest& request, const HttpResponder& respond) {
+void ClientRequestHandler::handleMessage(const HttpRequest& request, const HttpResponder& respond) {
     if (!configuration_) {
         ++counters_.unavailable;
-        return respond(tryLater());
+        return respond(serviceUnavailable());
     }
     const Route* const route =
         configuration_->match(headerValue(request.headers, "Host"), pathOf(request.target));
     if (!route) return refuse(404, counters_.no_route, respond);
-    std::optional<MessageContent> content = contentOf(request, *route, *configuration_);
+    std::optional<MessageContent> content = parseContent(request, *route, *configuration_);
     if (!content) return refuse(400, counters_.bad_request, respond);
-    if (accepts_.open() >= kMostOpenAccepts) {
+    if (submitter_.openCount() >= kMaxOpenSubmissions) {
         ++counters_.turned_away_busy;
-        return respond(tryLater());
+        return respond(serviceUnavailable());
     }
     content->body = request.body;
-    accepts_.accept(std::move(*content), *route, deadlineOf(request), respond);
+    submitter_.submit(std::move(*content), *route, parseDeadline(request), respond);
 }
 
-void Front::refuse(int status, std::uint64_t& counter, const HttpResponder& respond) {
+void ClientRequestHandler::refuse(int status, std::uint64_t& counter, const HttpResponder& respond) {
     ++counter;
     HttpResponse response;
     response.status = status;
--- a/src/cluster/edge/front.hpp
+++ b/src/cluster/edge/client_request_handler.hpp
@@ -7,16 +7,16 @@
 
 #include "cluster/common/configuration.hpp"
 #include "cluster/common/http.hpp"
-#include "cluster/edge/accepts.hpp"
 #include "cluster/edge/counters.hpp"
+#include "cluster/edge/message_submitter.hpp"
 #include "cluster/edge/queries.hpp"
 
 namespace amberswitch::cluster {
 
-class Front {
+class ClientRequestHandler {
 public:
-    Front(Accepts& accepts, Queries& queries, EdgeCounters& counters)
-        : accepts_(accepts), queries_(queries), counters_(counters) {}
+    ClientRequestHandler(MessageSubmitter& submitter, Queries& queries, EdgeCounters& counters)
+        : submitter_(submitter), queries_(queries), counters_(counters) {}
 
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
     // Answers GET /Config.Read where no route takes it; without one that is a message like any other.
@@ -34,7 +34,7 @@
     void handleMessage(const HttpRequest& request, const HttpResponder& respond);
     void refuse(int status, std::uint64_t& counter, const HttpResponder& respond);
 
-    Accepts& accepts_;
+    MessageSubmitter& submitter_;
     Queries& queries_;
     EdgeCounters& counters_;
     std::shared_ptr<const Configuration> configuration_;
--- a/src/cluster/edge/deliveries.cpp
+++ b/src/cluster/edge/deliveries.cpp
@@ -5,9 +5,9 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kMostGrants = 300;  // that have not been reported and taken
+constexpr std::size_t kMaxHeldGrants = 300;  // that have not been reported and taken
 
-RunResult resultOf(const Grant& grant, RunOutcome outcome) {
+RunResult makeResult(const Grant& grant, RunOutcome outcome) {
     RunResult result;
     result.partition = grant.partition;
     result.id = grant.content.id;
@@ -17,7 +17,7 @@
     return result;
 }
 
-bool isOfCallback(RunOutcome outcome) {
+bool isCallbackOutcome(RunOutcome outcome) {
     return outcome == RunOutcome::callback_delivered || outcome == RunOutcome::callback_failed;
 }
 
@@ -25,7 +25,7 @@
     return outcome == RunOutcome::completed || outcome == RunOutcome::rejected;
 }
 
-CallbackWork callbackOf(const Grant& grant, Phase phase, std::string stamp) {
+CallbackJob makeCallbackJob(const Grant& grant, Phase phase, std::string stamp) {
     return {grant.partition, grant.content.id, grant.epoch, grant.attempt, grant.content.callback_url,
             phase,           std::move(stamp)};
 }
@@ -42,9 +42,9 @@
       reports_(
           scheduler, transport, partitions, counters, self_.name, self_.address,
           [this](const RunResult& result) { return mayReport(result); },
-          [this](const RunResult& result) { reportTaken(result); }),
+          [this](const RunResult& result) { onResultAcknowledged(result); }),
       callbacks_(scheduler, http, counters, self_.incarnation,
-                 [this](const CallbackWork& work, bool taken) { callbackEnded(work, taken); }) {}
+                 [this](const CallbackJob& job, bool delivered) { onCallbackDone(job, delivered); }) {}
 
 // --- Configuration and servers -----------------------------------------------------------------------------
 
@@ -54,7 +54,7 @@
         std::unique_ptr<ServiceDispatcher>& dispatcher = services_[service.name];
         if (!dispatcher) {
             const auto ended = [this](const Grant& grant, const DeliveryResult& result) {
-                finished(grant, result);
+                onRunFinished(grant, result);
             };
             const auto allowed = [this](const Grant& grant) { return followsConfiguration(grant); };
             dispatcher = std::make_unique<ServiceDispatcher>(scheduler_, http_, counters_, self_.name,
@@ -67,7 +67,7 @@
         dispatcher->setService(service, schedule_target, share_);
     }
     std::erase_if(services_, [this](const auto& entry) {
-        return !configuration_->service(entry.first) && entry.second->open() == 0;
+        return !configuration_->service(entry.first) && entry.second->openCount() == 0;
     });
     applyServers();
     for (auto& [name, dispatcher] : services_) dispatcher->handBackMisdirected();
@@ -91,7 +91,7 @@
 
 void Deliveries::setEdgeShare(EdgeShare share) {
     share_ = share;
-    callbacks_.setEdges(share.edges);
+    callbacks_.setEdgeCount(share.edges);
     if (configuration_) onConfiguration(configuration_);
 }
 
@@ -106,7 +106,7 @@
 // --- Grants ------------------------------------------------------------------------------------------------
 
 bool Deliveries::hasRoomFor(const std::string& service) const {
-    if (leaving_ || book_.size() >= kMostGrants) return false;
+    if (leaving_ || grants_.size() >= kMaxHeldGrants) return false;
     const auto found = services_.find(service);
     return found != services_.end() && found->second->hasServer();
 }
@@ -115,97 +115,98 @@
     return hasRoomFor(service) && services_.at(service)->isConnected();
 }
 
-bool Deliveries::take(Grant& grant) {
+bool Deliveries::acceptGrant(Grant& grant) {
     const GrantKey key{grant.partition, grant.content.id};
-    const bool known = book_.find(key) != nullptr;
-    if (!known && (leaving_ || book_.size() >= kMostGrants)) return false;
-    switch (book_.enter(grant)) {
-        case GrantBook::Entered::repeated:
+    const bool already_held = grants_.find(key) != nullptr;
+    if (!already_held && (leaving_ || grants_.size() >= kMaxHeldGrants)) return false;
+    switch (grants_.insert(grant)) {
+        case HeldGrants::InsertResult::repeated:
             ++counters_.grants_repeated;
             return true;
-        case GrantBook::Entered::conflicting:
+        case HeldGrants::InsertResult::conflicting:
             return false;
-        case GrantBook::Entered::fresh:
+        case HeldGrants::InsertResult::inserted:
             break;
     }
     if (grant.callback) {
-        beginCallback(grant);
+        startCallback(grant);
     } else {
-        begin(std::move(grant));
+        startRun(std::move(grant));
     }
     return true;
 }
 
-void Deliveries::begin(Grant grant) {
+void Deliveries::startRun(Grant grant) {
     const auto found = services_.find(grant.content.service);
     if (found == services_.end() || !followsConfiguration(grant)) {
         ++counters_.misdirected;
-        return notRun(grant, false);
+        return reportNotRun(grant, false);
     }
-    found->second->begin(std::move(grant));
+    found->second->start(std::move(grant));
 }
 
-void Deliveries::beginCallback(const Grant& grant) {
-    callbacks_.begin(callbackOf(grant, grant.phase, grant.stamp));
+void Deliveries::startCallback(const Grant& grant) {
+    callbacks_.enqueue(makeCallbackJob(grant, grant.phase, grant.stamp));
 }
 
-void Deliveries::notRun(const Grant& grant, bool destination_down) {
-    finished(grant, {RunOutcome::not_run, "", destination_down});
+void Deliveries::reportNotRun(const Grant& grant, bool destination_down) {
+    onRunFinished(grant, {RunOutcome::not_run, "", destination_down});
 }
 
-void Deliveries::finished(const Grant& grant, const DeliveryResult& result) {
-    RunResult report = resultOf(grant, result.outcome);
+void Deliveries::onRunFinished(const Grant& grant, const DeliveryResult& result) {
+    RunResult report = makeResult(grant, result.outcome);
     report.stamp = result.stamp;
     report.destination_down = result.destination_down;
-    const bool owes_callback = endsMessage(result.outcome) && !grant.content.callback_url.empty();
-    report.callback_started = owes_callback && !leaving_ && callbacks_.mayBeginUngranted();
+    const bool needs_callback = endsMessage(result.outcome) && !grant.content.callback_url.empty();
+    report.callback_started = needs_callback && !leaving_ && callbacks_.mayStartWithoutGrant();
     if (report.callback_started) {
         const Phase phase = result.outcome == RunOutcome::completed ? Phase::completed : Phase::dead_letter;
-        callbacks_.begin(callbackOf(grant, phase, result.stamp));
+        callbacks_.enqueue(makeCallbackJob(grant, phase, result.stamp));
     }
     reports_.add(std::move(report));
 }
 
-void Deliveries::callbackEnded(const CallbackWork& work, bool taken) {
+void Deliveries::onCallbackDone(const CallbackJob& job, bool delivered) {
     RunResult report;
-    report.partition = work.partition;
-    report.id = work.id;
-    report.epoch = work.epoch;
-    report.attempt = work.attempt;
-    report.outcome = taken ? RunOutcome::callback_delivered : RunOutcome::callback_failed;
-    if (taken) recent_ends_.callbackTaken(work.partition, work.id);
+    report.partition = job.partition;
+    report.id = job.id;
+    report.epoch = job.epoch;
+    report.attempt = job.attempt;
+    report.outcome = delivered ? RunOutcome::callback_delivered : RunOutcome::callback_failed;
+    if (delivered) recent_results_.markCallbackDelivered(job.partition, job.id);
     reports_.add(std::move(report));
 }
 
 // The owner has to know of the run's end before it hears of the call-back.
 bool Deliveries::mayReport(const RunResult& result) {
-    if (!isOfCallback(result.outcome)) return true;
-    const GrantEntry* const entry = book_.find({result.partition, result.id});
-    return !entry || entry->callback;
+    if (!isCallbackOutcome(result.outcome)) return true;
+    const HeldGrant* const entry = grants_.find({result.partition, result.id});
+    return !entry || entry->callback_only;
 }
 
-void Deliveries::reportTaken(const RunResult& result) {
-    if (endsMessage(result.outcome)) recent_ends_.add(result, partitions_, scheduler_.now());
+void Deliveries::onResultAcknowledged(const RunResult& result) {
+    if (endsMessage(result.outcome)) recent_results_.add(result, partitions_, scheduler_.now());
     const GrantKey key{result.partition, result.id};
-    GrantEntry* const entry = book_.find(key);
+    HeldGrant* const entry = grants_.find(key);
     if (!entry || entry->attempt != result.attempt || entry->epoch != result.epoch) return;
-    if (!result.callback_started) return book_.erase(key);
-    entry->callback = true;
+    if (!result.callback_started) return grants_.erase(key);
+    entry->callback_only = true;
 }
 
 // --- A change of owners ------------------------------------------------------------------------------------
 
 void Deliveries::onView() {
-    for (const RecentEnd& end : recent_ends_.takeOrphans(partitions_, scheduler_.now())) reportAgain(end);
+    for (const RecentResult& end : recent_results_.takeOrphaned(partitions_, scheduler_.now()))
+        resendResult(end);
     reports_.onView();
 }
 
-void Deliveries::reportAgain(const RecentEnd& end) {
+void Deliveries::resendResult(const RecentResult& end) {
     RunResult result = end.result;
     const GrantKey key{result.partition, result.id};
-    if (GrantEntry* const entry = book_.find(key)) {
+    if (HeldGrant* const entry = grants_.find(key)) {
         if (entry->attempt != result.attempt || entry->epoch != result.epoch) return;
-        entry->callback = false;  // it goes on, and is told after the end
+        entry->callback_only = false;  // it goes on, and is told after the end
         return reports_.add(std::move(result));
     }
     Grant ended;
@@ -213,9 +214,9 @@
     ended.content.id = result.id;
     ended.epoch = result.epoch;
     ended.attempt = result.attempt;
-    book_.enter(ended);
-    result.callback_started = end.callback_taken;
-    if (end.callback_taken) {
+    grants_.insert(ended);
+    result.callback_started = end.callback_delivered;
+    if (end.callback_delivered) {
         RunResult callback = result;
         callback.outcome = RunOutcome::callback_delivered;
         callback.callback_started = false;
--- a/src/cluster/edge/deliveries.hpp
+++ b/src/cluster/edge/deliveries.hpp
@@ -10,10 +10,10 @@
 #include "cluster/common/http.hpp"
 #include "cluster/common/messages.hpp"
 #include "cluster/common/topology.hpp"
-#include "cluster/edge/callbacks.hpp"
+#include "cluster/edge/callback_sender.hpp"
 #include "cluster/edge/counters.hpp"
-#include "cluster/edge/grant_book.hpp"
-#include "cluster/edge/recent_ends.hpp"
+#include "cluster/edge/held_grants.hpp"
+#include "cluster/edge/recent_results.hpp"
 #include "cluster/edge/run_reports.hpp"
 #include "cluster/edge/service_dispatcher.hpp"
 
@@ -46,29 +46,31 @@
     bool wantsGrantFor(const std::string& service) const;
     // False: not taken, not begun and left as it is; it is the owner's again. A repeated grant is taken and
     // not begun twice.
-    bool take(Grant& grant);  // moved from where it is taken
+    bool acceptGrant(Grant& grant);  // moved from where it is taken
     // Tells the owner that a grant which take() did not take will not run here.
-    void giveBack(const Grant& grant) { notRun(grant, false); }
-    std::vector<RunningAttempt> attempts() const { return book_.attempts(); }
+    void returnGrant(const Grant& grant) { reportNotRun(grant, false); }
+    std::vector<RunningAttempt> runningAttempts() const { return grants_.runningAttempts(); }
 
     // The planned end has begun: nothing new is taken, what has not begun goes back.
     void leave();
     // Nothing runs and every result has been taken.
-    bool quiet() const { return book_.size() == 0 && reports_.pending() == 0 && callbacks_.open() == 0; }
+    bool isIdle() const {
+        return grants_.size() == 0 && reports_.pending() == 0 && callbacks_.openCount() == 0;
+    }
 
-    std::size_t held() const { return book_.size(); }
-    std::size_t reportsPending() const { return reports_.pending(); }
-    std::size_t callbacksOpen() const { return callbacks_.open(); }
+    std::size_t heldGrantCount() const { return grants_.size(); }
+    std::size_t pendingResultCount() const { return reports_.pending(); }
+    std::size_t openCallbackCount() const { return callbacks_.openCount(); }
 
 private:
-    void begin(Grant grant);
-    void beginCallback(const Grant& grant);
-    void finished(const Grant& grant, const DeliveryResult& result);
-    void notRun(const Grant& grant, bool destination_down);
-    void reportAgain(const RecentEnd& end);
+    void startRun(Grant grant);
+    void startCallback(const Grant& grant);
+    void onRunFinished(const Grant& grant, const DeliveryResult& result);
+    void reportNotRun(const Grant& grant, bool destination_down);
+    void resendResult(const RecentResult& end);
     bool mayReport(const RunResult& result);
-    void callbackEnded(const CallbackWork& work, bool taken);
-    void reportTaken(const RunResult& result);
+    void onCallbackDone(const CallbackJob& job, bool delivered);
+    void onResultAcknowledged(const RunResult& result);
     // The newest configuration of this edge sends the message to the service of the grant, or the grant rests
     // on a newer one.
     bool followsConfiguration(const Grant& grant) const;
@@ -79,10 +81,10 @@
     const PartitionMap& partitions_;
     EdgeCounters& counters_;
     EdgeIdentity self_;
-    GrantBook book_;
+    HeldGrants grants_;
     RunReports reports_;
-    RecentEnds recent_ends_;
-    Callbacks callbacks_;
+    RecentResults recent_results_;
+    CallbackSender callbacks_;
     std::map<std::string, std::unique_ptr<ServiceDispatcher>> services_;
     std::shared_ptr<const Configuration> configuration_;
     std::shared_ptr<const ServerList> servers_;
--- a/src/cluster/edge/delivery_answer.cpp
+++ b/src/cluster/edge/delivery_answer.cpp
@@ -8,71 +8,71 @@
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
 constexpr int kWrongInstance = 421;
-constexpr int kNeverPossible = 422;
-constexpr int kFailed = 500;
-constexpr int kTimedOut = 504;
+constexpr int kUnprocessable = 422;
+constexpr int kInternalError = 500;
+constexpr int kGatewayTimeout = 504;
 
-DeliveryAnswer ran(RunOutcome outcome, Outcome about_server) {
+DeliveryAnswer mayHaveRunAnswer(RunOutcome outcome, Outcome server_outcome) {
     DeliveryAnswer answer;
     answer.outcome = outcome;
-    answer.about_server = about_server;
+    answer.server_outcome = server_outcome;
     return answer;
 }
 
-DeliveryAnswer notRun(Outcome about_server, bool try_elsewhere) {
+DeliveryAnswer notRunAnswer(Outcome server_outcome, bool try_elsewhere) {
     DeliveryAnswer answer;
     answer.may_have_run = false;
     answer.outcome = RunOutcome::not_run;
-    answer.about_server = about_server;
+    answer.server_outcome = server_outcome;
     answer.try_elsewhere = try_elsewhere;
     return answer;
 }
 
-DeliveryAnswer judgeNotExecuted(int status, bool rate_limited) {
+DeliveryAnswer classifyNotExecuted(int status, bool rate_limited) {
     // Another dispatcher's attempt runs now, or the request itself is at fault: no other server helps.
-    if (status == kConflict) return ran(RunOutcome::unknown, Outcome::moot);
-    if (status == kBadRequest) return notRun(Outcome::moot, false);
-    if (status == kWrongInstance) return notRun(Outcome::connectFailed, !rate_limited);
+    if (status == kConflict) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::moot);
+    if (status == kBadRequest) return notRunAnswer(Outcome::moot, false);
+    if (status == kWrongInstance) return notRunAnswer(Outcome::connectFailed, !rate_limited);
     // A ceiling is no sign of a server that is full.
-    return notRun(rate_limited ? Outcome::moot : Outcome::full, !rate_limited);
+    return notRunAnswer(rate_limited ? Outcome::moot : Outcome::full, !rate_limited);
 }
 
-DeliveryAnswer judgeResponse(const HttpResponse& response, bool rate_limited) {
+DeliveryAnswer classifyResponse(const HttpResponse& response, bool rate_limited) {
     const bool not_executed = !headerValue(response.headers, "Not-Executed").empty();
     if (response.status == kWrongInstance || (response.status >= kBadRequest && not_executed)) {
-        return judgeNotExecuted(response.status, rate_limited);
+        return classifyNotExecuted(response.status, rate_limited);
     }
     if (response.status >= 200 && response.status < 300) {
         const std::string stamp(headerValue(response.headers, "Response-Stamp"));
-        if (stamp.empty()) return ran(RunOutcome::unknown, Outcome::error);
-        DeliveryAnswer answer = ran(RunOutcome::completed, Outcome::ok);
+        if (stamp.empty()) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::error);
+        DeliveryAnswer answer = mayHaveRunAnswer(RunOutcome::completed, Outcome::ok);
         answer.stamp = stamp;
         return answer;
     }
     // The message is at fault; how long that took says nothing of the server.
-    if (response.status == kNeverPossible) return ran(RunOutcome::rejected, Outcome::cancelled);
-    if (response.status == kFailed) return ran(RunOutcome::failed, Outcome::error);
-    if (response.status == kTimedOut) return ran(RunOutcome::unknown, Outcome::timeout);
-    return ran(RunOutcome::unknown, Outcome::error);
+    if (response.status == kUnprocessable) return mayHaveRunAnswer(RunOutcome::rejected, Outcome::cancelled);
+    if (response.status == kInternalError) return mayHaveRunAnswer(RunOutcome::failed, Outcome::error);
+    if (response.status == kGatewayTimeout) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::timeout);
+    return mayHaveRunAnswer(RunOutcome::unknown, Outcome::error);
 }
 
 }  // namespace
 
-DeliveryAnswer judgeAnswer(const HttpOutcome& outcome, bool rate_limited) {
+DeliveryAnswer classifyOutcome(const HttpOutcome& outcome, bool rate_limited) {
     switch (outcome.verdict) {
         case CallStatus::answered:
-            return judgeResponse(outcome.response, rate_limited);
+            return classifyResponse(outcome.response, rate_limited);
         case CallStatus::not_executed: {
             // Without a connection nothing arrived, so that a ceiling does not count it.
             DeliveryAnswer answer =
-                notRun(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
+                notRunAnswer(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
             answer.unreachable = outcome.unreachable;
             return answer;
         }
         case CallStatus::unknown:
             break;
     }
-    return ran(RunOutcome::unknown, outcome.timed_out ? Outcome::timeout : Outcome::reset);
+    return mayHaveRunAnswer(RunOutcome::unknown, outcome.timed_out ? Outcome::timeout : Outcome::reset);
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/edge_node.cpp
+++ b/src/cluster/edge/edge_node.cpp
@@ -9,11 +9,11 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kFallLasts{10'000};  // after which a lower number of dispatchers counts
-constexpr Millis kLeaveCheck{50};
+constexpr Millis kShareDropDelay{10'000};  // after which a lower number of dispatchers counts
+constexpr Millis kLeaveCheckInterval{50};
 // The platform asks for readiness every second and takes a dispatcher out after two misses: new connections
 // come until then.
-constexpr Millis kServesAfterLeave{2300};
+constexpr Millis kServeAfterLeave{2300};
 constexpr Millis kLeaveMargin{1000};  // left of the grace when leave() ends at the latest
 constexpr std::string_view kCountersPath = "/counters";
 
@@ -28,14 +28,14 @@
       grace_(settings.bounds.grace),
       partitions_(settings.zone, settings.topology),
       deliveries_(scheduler, transport, servers, partitions_, counters_, self_),
-      links_(scheduler, transport, partitions_, deliveries_, self_),
-      accepts_(scheduler, transport, partitions_, deliveries_, counters_, self_),
+      store_heartbeats_(scheduler, transport, partitions_, deliveries_, self_),
+      submitter_(scheduler, transport, partitions_, deliveries_, counters_, self_),
       queries_(scheduler, transport, partitions_, counters_),
-      front_(accepts_, queries_, counters_) {}
+      client_requests_(submitter_, queries_, counters_) {}
 
 void EdgeNode::start() {
     transport_.serve([this](const Envelope& request, const Responder& respond) { serve(request, respond); });
-    links_.start();
+    store_heartbeats_.start();
 }
 
 // --- What is distributed -----------------------------------------------------------------------------------
@@ -43,7 +43,7 @@
 void EdgeNode::onView(std::shared_ptr<const StoreView> view) {
     if (!partitions_.update(std::move(view))) return;
     deliveries_.onView();
-    links_.onView();
+    store_heartbeats_.onView();
 }
 
 void EdgeNode::onServers(std::shared_ptr<const ServerList> servers) {
@@ -53,23 +53,23 @@
 
 void EdgeNode::onConfiguration(std::shared_ptr<const Configuration> configuration) {
     configuration_ = std::move(configuration);
-    front_.onConfiguration(configuration_);
+    client_requests_.onConfiguration(configuration_);
     deliveries_.onConfiguration(configuration_);
 }
 
 void EdgeNode::setEdgeShare(EdgeShare share) {
     share.edges = std::max<std::uint32_t>(1, share.edges);
     if (share.edges >= share_.edges) {
-        fall_.reset();
-        fewer_ = {0, 0, 0};
+        share_drop_timer_.reset();
+        pending_share_ = {0, 0, 0};
         if (share != share_) applyEdgeShare(share);
         return;
     }
-    fewer_ = std::max(fewer_, share);
-    if (fall_) return;
-    fall_ = scheduler_.after(kFallLasts, [this] {
-        fall_.reset();
-        applyEdgeShare(std::exchange(fewer_, EdgeShare{0, 0, 0}));
+    pending_share_ = std::max(pending_share_, share);
+    if (share_drop_timer_) return;
+    share_drop_timer_ = scheduler_.after(kShareDropDelay, [this] {
+        share_drop_timer_.reset();
+        applyEdgeShare(std::exchange(pending_share_, EdgeShare{0, 0, 0}));
     });
 }
 
@@ -80,8 +80,8 @@
 
 // --- Requests ----------------------------------------------------------------------------------------------
 
-void EdgeNode::handleFront(const HttpRequest& request, HttpResponder respond) {
-    front_.handle(request, std::move(respond));
+void EdgeNode::handleClientRequest(const HttpRequest& request, HttpResponder respond) {
+    client_requests_.handle(request, std::move(respond));
 }
 
 void EdgeNode::handleReadiness(const HttpRequest& request, HttpResponder respond) {
@@ -89,23 +89,23 @@
     if (request.target == kCountersPath) {
         response.headers.push_back({"Content-Type", "text/plain"});
         response.body = countersText();
-    } else if (!ready()) {
+    } else if (!isReady()) {
         response.status = 503;
     }
     respond(std::move(response));
 }
 
-bool EdgeNode::ready() const {
-    return configuration_ && servers_ && !leaving_ && partitions_.usable();
+bool EdgeNode::isReady() const {
+    return configuration_ && servers_ && !leaving_ && partitions_.hasUsableOwner();
 }
 
 std::string EdgeNode::countersText() const {
     MetricsText text;
-    text.add("open_accepts", accepts_.open());
-    text.add("open_queries", queries_.open());
-    text.add("grants_held", deliveries_.held());
-    text.add("reports_pending", deliveries_.reportsPending());
-    text.add("callbacks_open", deliveries_.callbacksOpen());
+    text.add("open_accepts", submitter_.openCount());
+    text.add("open_queries", queries_.openCount());
+    text.add("grants_held", deliveries_.heldGrantCount());
+    text.add("reports_pending", deliveries_.pendingResultCount());
+    text.add("callbacks_open", deliveries_.openCallbackCount());
     text.add("view_epoch", partitions_.epoch());
     text.add("edges", share_.edges);
     text.add("edges_of_region", share_.region_edges);
@@ -122,23 +122,23 @@
     if (request.kind != static_cast<std::uint16_t>(MessageKind::grant_push)) return;
     std::optional<GrantPush> push = decode<GrantPush>(request.body);
     if (!push) return;
-    respond(reply(take(std::move(*push))));
+    respond(reply(acceptGrants(std::move(*push))));
 }
 
-GrantPushReply EdgeNode::take(GrantPush push) {
+GrantPushReply EdgeNode::acceptGrants(GrantPush push) {
     GrantPushReply answer;
     answer.edge_restarted = push.edge_incarnation != 0 && push.edge_incarnation != self_.incarnation;
-    const bool takes = !leaving_ && !answer.edge_restarted;
+    const bool accepts_grants = !leaving_ && !answer.edge_restarted;
     for (Grant& grant : push.grants) {
-        const bool taken = takes && !stale(push, grant) && deliveries_.take(grant);
-        ++(taken ? counters_.granted_by_push : counters_.grants_refused);
-        answer.accepted.push_back(taken);
+        const bool accepted = accepts_grants && !isStale(push, grant) && deliveries_.acceptGrant(grant);
+        ++(accepted ? counters_.granted_by_push : counters_.grants_refused);
+        answer.accepted.push_back(accepted);
     }
     return answer;
 }
 
 // Of a store that does not own the partition by this edge's newer view.
-bool EdgeNode::stale(const GrantPush& push, const Grant& grant) const {
+bool EdgeNode::isStale(const GrantPush& push, const Grant& grant) const {
     if (grant.epoch >= partitions_.epoch()) return false;
     const StoreMember* const owner = partitions_.owner(grant.partition);
     return !owner || owner->member.name != push.store;
@@ -149,26 +149,26 @@
 void EdgeNode::leave(std::function<void()> done) {
     if (leaving_) return;
     leaving_ = true;
-    left_ = std::move(done);
-    serve_until_ = scheduler_.now() + std::min(kServesAfterLeave, grace_ / 2);
-    leave_by_ = scheduler_.now() + std::max(grace_ - kLeaveMargin, Millis(0));
-    front_.leave();
-    links_.leave();
+    on_left_ = std::move(done);
+    serve_until_ = scheduler_.now() + std::min(kServeAfterLeave, grace_ / 2);
+    leave_deadline_ = scheduler_.now() + std::max(grace_ - kLeaveMargin, Millis(0));
+    client_requests_.leave();
+    store_heartbeats_.leave();
     deliveries_.leave();
-    checkQuiet();
+    leaveWhenIdle();
 }
 
-bool EdgeNode::quiet() const {
-    return accepts_.open() == 0 && queries_.open() == 0 && deliveries_.quiet();
+bool EdgeNode::isIdle() const {
+    return submitter_.openCount() == 0 && queries_.openCount() == 0 && deliveries_.isIdle();
 }
 
-void EdgeNode::checkQuiet() {
+void EdgeNode::leaveWhenIdle() {
     const SteadyTime now = scheduler_.now();
-    if ((quiet() && now >= serve_until_) || now >= leave_by_) {
-        leave_check_.reset();
-        return std::exchange(left_, nullptr)();
+    if ((isIdle() && now >= serve_until_) || now >= leave_deadline_) {
+        leave_check_timer_.reset();
+        return std::exchange(on_left_, nullptr)();
     }
-    leave_check_ = scheduler_.after(kLeaveCheck, [this] { checkQuiet(); });
+    leave_check_timer_ = scheduler_.after(kLeaveCheckInterval, [this] { leaveWhenIdle(); });
 }
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/edge_node.hpp
+++ b/src/cluster/edge/edge_node.hpp
@@ -11,12 +11,12 @@
 #include "cluster/common/scheduler.hpp"
 #include "cluster/common/settings.hpp"
 #include "cluster/common/transport.hpp"
-#include "cluster/edge/accepts.hpp"
+#include "cluster/edge/client_request_handler.hpp"
 #include "cluster/edge/deliveries.hpp"
-#include "cluster/edge/front.hpp"
-#include "cluster/edge/owner_links.hpp"
+#include "cluster/edge/message_submitter.hpp"
 #include "cluster/edge/partition_map.hpp"
 #include "cluster/edge/queries.hpp"
+#include "cluster/edge/store_heartbeats.hpp"
 
 namespace amberswitch::cluster {
 
@@ -34,31 +34,31 @@
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
     // Answers a client that asks for the newest configuration (Front::onConfigurationRead).
     void onConfigurationRead(std::function<void(HttpResponder)> read) {
-        front_.onConfigurationRead(std::move(read));
+        client_requests_.onConfigurationRead(std::move(read));
     }
     // This dispatcher's place among those that share the servers' connections; a fall of their number counts
     // only once it has lasted.
     void setEdgeShare(EdgeShare share);
 
-    void handleFront(const HttpRequest& request, HttpResponder respond);
+    void handleClientRequest(const HttpRequest& request, HttpResponder respond);
     // 200 while this edge can take messages, else 503; GET /counters answers with countersText().
     void handleReadiness(const HttpRequest& request, HttpResponder respond);
-    bool ready() const;
+    bool isReady() const;
 
     // The planned end: `done` runs once the platform has noticed that this edge is not ready and everything
     // open has its end and was reported, or a second before the grace is over.
     void leave(std::function<void()> done);
     // Nothing is open: no request of a client, no delivery, no report.
-    bool quiet() const;
+    bool isIdle() const;
 
     std::string countersText() const;
 
 private:
     void serve(const Envelope& request, const Responder& respond);
-    GrantPushReply take(GrantPush push);
-    bool stale(const GrantPush& push, const Grant& grant) const;
+    GrantPushReply acceptGrants(GrantPush push);
+    bool isStale(const GrantPush& push, const Grant& grant) const;
     void applyEdgeShare(EdgeShare share);
-    void checkQuiet();
+    void leaveWhenIdle();
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -67,20 +67,20 @@
     EdgeCounters counters_;
     PartitionMap partitions_;
     Deliveries deliveries_;
-    OwnerLinks links_;
-    Accepts accepts_;
+    StoreHeartbeats store_heartbeats_;
+    MessageSubmitter submitter_;
     Queries queries_;
-    Front front_;
+    ClientRequestHandler client_requests_;
     std::shared_ptr<const Configuration> configuration_;
     std::shared_ptr<const ServerList> servers_;
     EdgeShare share_;
-    EdgeShare fewer_{0, 0, 0};  // the one with the highest lower count since the fall
-    TimerHandle fall_;
+    EdgeShare pending_share_{0, 0, 0};  // the one with the highest lower count since the fall
+    TimerHandle share_drop_timer_;
     bool leaving_ = false;
     SteadyTime serve_until_{};
-    SteadyTime leave_by_{};
-    std::function<void()> left_;
-    TimerHandle leave_check_;
+    SteadyTime leave_deadline_{};
+    std::function<void()> on_left_;
+    TimerHandle leave_check_timer_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/grant_book.hpp
+++ b/src/cluster/edge/held_grants.hpp
@@ -20,25 +20,25 @@
     }
 };
 
-struct GrantEntry {
+struct HeldGrant {
     std::uint64_t attempt = 0;
     Epoch epoch = 0;
-    bool callback = false;  // only the call-back is still to do; the owner knows of the run's end
+    bool callback_only = false;  // only the call-back is still to do; the owner knows of the run's end
 };
 
-class GrantBook {
+class HeldGrants {
 public:
-    enum class Entered { fresh, repeated, conflicting };
+    enum class InsertResult { inserted, repeated, conflicting };
 
     // repeated: this very attempt is known already. conflicting: another attempt of the message is.
-    Entered enter(const Grant& grant);
-    GrantEntry* find(const GrantKey& key);
-    void erase(const GrantKey& key) { entries_.erase(key); }
-    std::size_t size() const { return entries_.size(); }
-    std::vector<RunningAttempt> attempts() const;
+    InsertResult insert(const Grant& grant);
+    HeldGrant* find(const GrantKey& key);
+    void erase(const GrantKey& key) { grants_.erase(key); }
+    std::size_t size() const { return grants_.size(); }
+    std::vector<RunningAttempt> runningAttempts() const;
 
 private:
-    std::unordered_map<GrantKey, GrantEntry, GrantKeyHash> entries_;
+    std::unordered_map<GrantKey, HeldGrant, GrantKeyHash> grants_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/message_ref.cpp
+++ b/src/cluster/edge/message_ref.cpp
@@ -6,12 +6,12 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kLongestRef = 64;
+constexpr std::size_t kMaxRefLength = 64;
 constexpr char kPlainSeparator = '-';
 constexpr char kHexSeparator = '.';
 constexpr char kHexDigits[] = "0123456789abcdef";
 
-bool usableInRef(char c) {
+bool isPlainRefCharacter(char c) {
     const bool letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
     return letter || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
 }
@@ -43,14 +43,14 @@
 
 std::optional<std::string> formatMessageRef(PartitionId partition, std::string_view id) {
     std::string ref = "p" + std::to_string(partition);
-    if (std::all_of(id.begin(), id.end(), usableInRef)) {
+    if (std::all_of(id.begin(), id.end(), isPlainRefCharacter)) {
         ref += kPlainSeparator;
         ref += id;
     } else {
         ref += kHexSeparator;
         ref += toHex(id);
     }
-    if (ref.size() > kLongestRef) return std::nullopt;
+    if (ref.size() > kMaxRefLength) return std::nullopt;
     return ref;
 }
 
--- a/src/cluster/edge/accepts.hpp
+++ b/src/cluster/edge/message_submitter.hpp
@@ -19,28 +19,28 @@
 namespace amberswitch::cluster {
 
 // 503 with Retry-After in seconds, as a fraction: the message is surely nowhere.
-HttpResponse tryLater(Millis wait = Millis(100));
+HttpResponse serviceUnavailable(Millis owner_wait_timer = Millis(100));
 
-class Accepts {
+class MessageSubmitter {
 public:
-    Accepts(Scheduler& scheduler, Transport& transport, PartitionMap& partitions, Deliveries& deliveries,
-            EdgeCounters& counters, EdgeIdentity self);
+    MessageSubmitter(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
+                     Deliveries& deliveries, EdgeCounters& counters, EdgeIdentity self);
 
     // `deadline`: how long the client waits, where it says so.
-    void accept(MessageContent content, const Route& route, std::optional<Millis> deadline,
+    void submit(MessageContent content, const Route& route, std::optional<Millis> deadline,
                 HttpResponder respond);
     // Messages that have no answer yet.
-    std::size_t open() const { return offers_.size(); }
+    std::size_t openCount() const { return submissions_.size(); }
 
 private:
-    struct Offer {
+    struct Submission {
         MessageContent content;
         Millis retention{0};
         std::uint32_t max_failures = 1;
         Millis delivery_timeout{0};
         HttpResponder respond;
-        SteadyTime give_up_at{};   // for the owner's answer
-        SteadyTime retry_until{};  // for waiting for another owner
+        SteadyTime reply_deadline{};       // for the owner's answer
+        SteadyTime owner_wait_deadline{};  // for waiting for another owner
         SteadyTime called_at{};
         Millis retry_after{100};  // advised with a 503
         PartitionId partition = 0;
@@ -49,20 +49,20 @@
         std::set<NodeAddress> tried;
         int tries = 0;
         bool may_be_stored = false;
-        TimerHandle wait;
+        TimerHandle owner_wait_timer;
     };
-    using OfferId = std::uint64_t;
+    using SubmissionId = std::uint64_t;
 
-    void tryNext(OfferId id);
-    bool choosePartition(Offer& offer);
-    void call(OfferId id, Offer& offer, const StoreMember& owner);
-    void answered(OfferId id, const CallResult& result);
-    void judge(OfferId id, Offer& offer, const AcceptMessageReply& reply);
-    void stored(OfferId id, const AcceptMessageReply& reply);
-    void tryAgain(OfferId id, Offer& offer);
-    void waitForOwner(OfferId id, Offer& offer);
-    void giveUp(OfferId id);
-    void finish(OfferId id, HttpResponse response);
+    void tryNextOwner(SubmissionId id);
+    bool choosePartition(Submission& submission);
+    void callOwner(SubmissionId id, Submission& submission, const StoreMember& owner);
+    void onCallResult(SubmissionId id, const CallResult& result);
+    void onReply(SubmissionId id, Submission& submission, const AcceptMessageReply& reply);
+    void onStored(SubmissionId id, const AcceptMessageReply& reply);
+    void retry(SubmissionId id, Submission& submission);
+    void waitForOwner(SubmissionId id, Submission& submission);
+    void giveUp(SubmissionId id);
+    void finish(SubmissionId id, HttpResponse response);
 
     Scheduler& scheduler_;
     Transport& transport_;
@@ -71,8 +71,8 @@
     EdgeCounters& counters_;
     EdgeIdentity self_;
     std::mt19937_64 random_;
-    std::unordered_map<OfferId, Offer> offers_;
-    OfferId last_id_ = 0;
+    std::unordered_map<SubmissionId, Submission> submissions_;
+    SubmissionId last_id_ = 0;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/module_timers.cpp
+++ b/src/cluster/edge/module_timers.cpp
@@ -7,10 +7,10 @@
 using std::chrono::microseconds;
 
 constexpr Millis kLongDelay{500};
-constexpr microseconds kFineStep{5'000};
-constexpr microseconds kCoarseStep{50'000};
+constexpr microseconds kShortDelayStep{5'000};
+constexpr microseconds kLongDelayStep{50'000};
 
-SteadyTime roundedUp(SteadyTime time, microseconds step) {
+SteadyTime roundUp(SteadyTime time, microseconds step) {
     const microseconds since = time.time_since_epoch();
     const microseconds over = since % step;
     return over.count() == 0 ? time : time + (step - over);
@@ -20,8 +20,8 @@
 
 void ModuleTimers::set(std::chrono::nanoseconds delay, std::uint64_t tag) {
     const microseconds span = duration_cast<microseconds>(delay);
-    const microseconds step = span >= kLongDelay ? kCoarseStep : kFineStep;
-    due_.emplace(roundedUp(scheduler_.now() + span, step), tag);
+    const microseconds step = span >= kLongDelay ? kLongDelayStep : kShortDelayStep;
+    due_.emplace(roundUp(scheduler_.now() + span, step), tag);
     arm();
 }
 
@@ -46,7 +46,7 @@
         tags.push_back(due_.begin()->second);
         due_.erase(due_.begin());
     }
-    for (const std::uint64_t tag : tags) fired_(tag);
+    for (const std::uint64_t tag : tags) on_fired_(tag);
     arm();
 }
 
--- a/src/cluster/edge/module_timers.hpp
+++ b/src/cluster/edge/module_timers.hpp
@@ -12,9 +12,10 @@
 
 class ModuleTimers {
 public:
-    using Fired = std::function<void(std::uint64_t tag)>;
+    using FiredHandler = std::function<void(std::uint64_t tag)>;
 
-    ModuleTimers(Scheduler& scheduler, Fired fired) : scheduler_(scheduler), fired_(std::move(fired)) {}
+    ModuleTimers(Scheduler& scheduler, FiredHandler on_fired)
+        : scheduler_(scheduler), on_fired_(std::move(on_fired)) {}
 
     void set(std::chrono::nanoseconds delay, std::uint64_t tag);
     void clear();
@@ -24,7 +25,7 @@
     void fire();
 
     Scheduler& scheduler_;
-    Fired fired_;
+    FiredHandler on_fired_;
     std::multimap<SteadyTime, std::uint64_t> due_;
     TimerHandle timer_;
     SteadyTime armed_for_{};
--- a/src/cluster/edge/partition_map.cpp
+++ b/src/cluster/edge/partition_map.cpp
@@ -13,7 +13,7 @@
 }
 
 const StoreMember* PartitionMap::owner(PartitionId partition) const {
-    if (partition >= partitions()) return nullptr;
+    if (partition >= partitionCount()) return nullptr;
     const std::int32_t index = view_->partitions[partition].owner;
     if (index < 0 || static_cast<std::size_t>(index) >= view_->stores.size()) return nullptr;
     const StoreMember& store = view_->stores[static_cast<std::size_t>(index)];
@@ -33,32 +33,32 @@
     std::string bytes(order_scope);
     bytes += '\0';
     bytes += order_key;
-    return static_cast<PartitionId>(XXH64(bytes.data(), bytes.size(), 0) % partitions());
+    return static_cast<PartitionId>(XXH64(bytes.data(), bytes.size(), 0) % partitionCount());
 }
 
-std::optional<PartitionId> PartitionMap::pick(std::mt19937_64& random,
-                                              const std::set<NodeAddress>& tried) const {
+std::optional<PartitionId> PartitionMap::pickPartition(std::mt19937_64& random,
+                                                       const std::set<NodeAddress>& tried) const {
     std::optional<PartitionId> best;
     Distance nearest = Distance::other_region;
-    std::uint64_t equals = 0;
-    for (PartitionId partition = 0; partition < partitions(); ++partition) {
+    std::uint64_t candidates = 0;
+    for (PartitionId partition = 0; partition < partitionCount(); ++partition) {
         const StoreMember* const store = owner(partition);
-        if (!store || tried.contains(store->member.address) || suspected(store->member.address)) continue;
+        if (!store || tried.contains(store->member.address) || isSuspected(store->member.address)) continue;
         const Distance distance = distanceTo(*store);
         if (distance > nearest) continue;
-        if (distance < nearest) equals = 0;
+        if (distance < nearest) candidates = 0;
         nearest = distance;
-        ++equals;
+        ++candidates;
         // Each of the equals seen so far is kept with the same chance.
-        if (random() % equals == 0) best = partition;
+        if (random() % candidates == 0) best = partition;
     }
     return best;
 }
 
-bool PartitionMap::usable() const {
-    for (PartitionId partition = 0; partition < partitions(); ++partition) {
+bool PartitionMap::hasUsableOwner() const {
+    for (PartitionId partition = 0; partition < partitionCount(); ++partition) {
         const StoreMember* const store = owner(partition);
-        if (store && !suspected(store->member.address)) return true;
+        if (store && !isSuspected(store->member.address)) return true;
     }
     return false;
 }
--- a/src/cluster/edge/partition_map.hpp
+++ b/src/cluster/edge/partition_map.hpp
@@ -26,7 +26,7 @@
 
     // Of the present view; 0 before the first one.
     Epoch epoch() const { return view_ ? view_->epoch : 0; }
-    std::size_t partitions() const { return view_ ? view_->partitions.size() : 0; }
+    std::size_t partitionCount() const { return view_ ? view_->partitions.size() : 0; }
     // Null where no live store owns the partition.
     const StoreMember* owner(PartitionId partition) const;
     std::vector<const StoreMember*> aliveStores() const;
@@ -38,15 +38,16 @@
     PartitionId partitionOfKey(std::string_view order_scope, std::string_view order_key) const;
     // A random partition among those with the nearest owners that are neither suspected nor among `tried`.
     // Nothing where there is none.
-    std::optional<PartitionId> pick(std::mt19937_64& random, const std::set<NodeAddress>& tried) const;
+    std::optional<PartitionId> pickPartition(std::mt19937_64& random,
+                                             const std::set<NodeAddress>& tried) const;
 
     // An owner that refused, broke its connection or did not answer gets nothing until it answers again
     // (OwnerLinks asks it).
     void suspect(const NodeAddress& owner) { suspected_.insert(owner); }
-    void trust(const NodeAddress& owner) { suspected_.erase(owner); }
-    bool suspected(const NodeAddress& owner) const { return suspected_.contains(owner); }
+    void clearSuspicion(const NodeAddress& owner) { suspected_.erase(owner); }
+    bool isSuspected(const NodeAddress& owner) const { return suspected_.contains(owner); }
     // Whether some partition has an owner that is not suspected.
-    bool usable() const;
+    bool hasUsableOwner() const;
 
 private:
     std::string zone_;
--- a/src/cluster/edge/queries.cpp
+++ b/src/cluster/edge/queries.cpp
@@ -7,14 +7,14 @@
 #include <utility>
 
 #include "cluster/common/codec.hpp"
-#include "cluster/edge/accepts.hpp"
+#include "cluster/edge/message_submitter.hpp"
 
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kAnswerWithin{1700};
+constexpr Millis kQueryTimeout{1700};
 constexpr Millis kCallTimeout{500};
-constexpr Millis kRetryAfter{100};
+constexpr Millis kRetryInterval{100};
 
 const char* phaseName(Phase phase) {
     switch (phase) {
@@ -42,7 +42,7 @@
     return {buffer.GetString(), buffer.GetSize()};
 }
 
-HttpResponse found(Queries::Kind kind, StateReply reply) {
+HttpResponse foundResponse(Queries::Kind kind, StateReply reply) {
     HttpResponse response;
     if (kind == Queries::Kind::body) {
         response.headers.push_back({"Content-Type", "application/octet-stream"});
@@ -63,68 +63,69 @@
 void Queries::ask(Kind kind, const MessageRef& ref, HttpResponder respond) {
     ++counters_.queries;
     const QueryId id = ++last_id_;
-    Query& query = open_[id];
+    Query& query = queries_[id];
     query.kind = kind;
     query.id = ref.id;
     query.respond = std::move(respond);
-    query.give_up_at = scheduler_.now() + kAnswerWithin;
-    query.every_partition = !ref.partition;
-    if (ref.partition) query.unasked.push_back(*ref.partition);
-    round(id);
+    query.deadline = scheduler_.now() + kQueryTimeout;
+    query.ask_every_partition = !ref.partition;
+    if (ref.partition) query.unanswered.push_back(*ref.partition);
+    startRound(id);
 }
 
-void Queries::round(QueryId id) {
-    Query& query = open_.at(id);
-    const std::size_t partitions = partitions_.partitions();
-    if (query.every_partition && partitions > 0) {
-        query.every_partition = false;
+void Queries::startRound(QueryId id) {
+    Query& query = queries_.at(id);
+    const std::size_t partitions = partitions_.partitionCount();
+    if (query.ask_every_partition && partitions > 0) {
+        query.ask_every_partition = false;
         for (PartitionId partition = 0; partition < partitions; ++partition)
-            query.unasked.push_back(partition);
+            query.unanswered.push_back(partition);
     }
     // A partition that no view has: nothing was ever stored there.
-    if (partitions > 0) std::erase_if(query.unasked, [&](PartitionId each) { return each >= partitions; });
+    if (partitions > 0) std::erase_if(query.unanswered, [&](PartitionId each) { return each >= partitions; });
     const MessageKind kind = query.kind == Kind::state ? MessageKind::state_query : MessageKind::body_query;
-    const auto remaining = std::chrono::ceil<Millis>(query.give_up_at - scheduler_.now());
-    for (const PartitionId partition : query.unasked) {
+    const auto remaining = std::chrono::ceil<Millis>(query.deadline - scheduler_.now());
+    for (const PartitionId partition : query.unanswered) {
         const StoreMember* const owner = partitions_.owner(partition);
         if (!owner) continue;
-        ++query.awaited;
+        ++query.open_calls;
         transport_.call(owner->member.address, envelope(kind, StateQuery{partition, query.id}),
                         std::min(kCallTimeout, remaining),
-                        [this, id, partition](const CallResult& result) { answered(id, partition, result); });
+                        [this, id, partition](const CallResult& result) { onReply(id, partition, result); });
     }
-    if (query.awaited == 0) roundOver(id, query);
+    if (query.open_calls == 0) onRoundEnd(id, query);
 }
 
-void Queries::answered(QueryId id, PartitionId partition, const CallResult& result) {
-    const auto at = open_.find(id);
-    if (at == open_.end()) return;  // another partition had it
+void Queries::onReply(QueryId id, PartitionId partition, const CallResult& result) {
+    const auto at = queries_.find(id);
+    if (at == queries_.end()) return;  // another partition had it
     Query& query = at->second;
-    --query.awaited;
+    --query.open_calls;
     std::optional<StateReply> reply;
     if (result.verdict == CallStatus::answered) reply = decode<StateReply>(result.reply.body);
-    if (reply && reply->status == QueryStatus::found) return finish(id, found(query.kind, std::move(*reply)));
-    if (reply && reply->status == QueryStatus::not_found) std::erase(query.unasked, partition);
-    if (query.awaited == 0) roundOver(id, query);
+    if (reply && reply->status == QueryStatus::found)
+        return finish(id, foundResponse(query.kind, std::move(*reply)));
+    if (reply && reply->status == QueryStatus::not_found) std::erase(query.unanswered, partition);
+    if (query.open_calls == 0) onRoundEnd(id, query);
 }
 
-void Queries::roundOver(QueryId id, Query& query) {
-    const bool knows_all = !query.every_partition && query.unasked.empty();
-    if (knows_all) {
+void Queries::onRoundEnd(QueryId id, Query& query) {
+    const bool all_answered = !query.ask_every_partition && query.unanswered.empty();
+    if (all_answered) {
         HttpResponse response;
         response.status = 404;
         return finish(id, std::move(response));
     }
-    if (scheduler_.now() + kRetryAfter >= query.give_up_at) {
+    if (scheduler_.now() + kRetryInterval >= query.deadline) {
         ++counters_.queries_unanswered;
-        return finish(id, tryLater());
+        return finish(id, serviceUnavailable());
     }
-    query.retry = scheduler_.after(kRetryAfter, [this, id] { round(id); });
+    query.retry = scheduler_.after(kRetryInterval, [this, id] { startRound(id); });
 }
 
 void Queries::finish(QueryId id, HttpResponse response) {
-    const HttpResponder respond = std::move(open_.at(id).respond);
-    open_.erase(id);
+    const HttpResponder respond = std::move(queries_.at(id).respond);
+    queries_.erase(id);
     respond(std::move(response));
 }
 
--- a/src/cluster/edge/queries.hpp
+++ b/src/cluster/edge/queries.hpp
@@ -23,7 +23,7 @@
 
     // 200, 404 where no partition has the message, or 503 where its owner could not be asked in time.
     void ask(Kind kind, const MessageRef& ref, HttpResponder respond);
-    std::size_t open() const { return open_.size(); }
+    std::size_t openCount() const { return queries_.size(); }
 
 private:
     using QueryId = std::uint64_t;
@@ -31,23 +31,23 @@
         Kind kind = Kind::state;
         MessageId id;
         HttpResponder respond;
-        SteadyTime give_up_at{};
-        std::vector<PartitionId> unasked;  // partitions that have not answered
-        std::size_t awaited = 0;           // calls of this round
-        bool every_partition = false;      // a bare id
+        SteadyTime deadline{};
+        std::vector<PartitionId> unanswered;  // partitions that have not answered
+        std::size_t open_calls = 0;           // calls of this round
+        bool ask_every_partition = false;     // a bare id
         TimerHandle retry;
     };
 
-    void round(QueryId id);
-    void answered(QueryId id, PartitionId partition, const CallResult& result);
-    void roundOver(QueryId id, Query& query);
+    void startRound(QueryId id);
+    void onReply(QueryId id, PartitionId partition, const CallResult& result);
+    void onRoundEnd(QueryId id, Query& query);
     void finish(QueryId id, HttpResponse response);
 
     Scheduler& scheduler_;
     Transport& transport_;
     const PartitionMap& partitions_;
     EdgeCounters& counters_;
-    std::unordered_map<QueryId, Query> open_;
+    std::unordered_map<QueryId, Query> queries_;
     QueryId last_id_ = 0;
 };
 
--- a/src/cluster/edge/recent_ends.hpp
+++ b/src/cluster/edge/recent_results.hpp
@@ -10,28 +10,28 @@
 
 namespace amberswitch::cluster {
 
-struct RecentEnd {
+struct RecentResult {
     RunResult result;  // completed or rejected
-    bool callback_taken = false;
+    bool callback_delivered = false;
     NodeAddress owner;  // that took it
     Incarnation owner_incarnation = 0;
-    SteadyTime taken_at{};
+    SteadyTime acknowledged_at{};
 };
 
-class RecentEnds {
+class RecentResults {
 public:
     // The end as the present owner of its partition took it.
     void add(const RunResult& result, const PartitionMap& partitions, SteadyTime now);
     // The call-back of that message was taken, too.
-    void callbackTaken(PartitionId partition, const MessageId& id);
+    void markCallbackDelivered(PartitionId partition, const MessageId& id);
     // Removes and returns those whose partition now has another owner, or its owner another incarnation.
-    std::vector<RecentEnd> takeOrphans(const PartitionMap& partitions, SteadyTime now);
-    std::size_t size() const { return ends_.size(); }
+    std::vector<RecentResult> takeOrphaned(const PartitionMap& partitions, SteadyTime now);
+    std::size_t size() const { return results_.size(); }
 
 private:
-    void forgetOld(SteadyTime now);
+    void removeExpired(SteadyTime now);
 
-    std::deque<RecentEnd> ends_;  // the oldest first
+    std::deque<RecentResult> results_;  // the oldest first
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/run_reports.hpp
+++ b/src/cluster/edge/run_reports.hpp
@@ -15,29 +15,30 @@
 
 class RunReports {
 public:
-    using MaySend = std::function<bool(const RunResult&)>;
-    using Taken = std::function<void(const RunResult&)>;
+    using SendFilter = std::function<bool(const RunResult&)>;
+    using AcknowledgedHandler = std::function<void(const RunResult&)>;
 
     // `edge` and `address` name this edge in each report; `taken` is told of every result that an owner took.
     // A result that `may_send` rejects waits until it no longer does.
     RunReports(Scheduler& scheduler, Transport& transport, const PartitionMap& partitions,
-               EdgeCounters& counters, std::string edge, NodeAddress address, MaySend may_send, Taken taken);
+               EdgeCounters& counters, std::string edge, NodeAddress address, SendFilter may_send,
+               AcknowledgedHandler on_acknowledged);
 
     void add(RunResult result);
     // A newer view: results that waited for an owner go out at once.
     void onView();
     // Results that no owner has taken yet.
-    std::size_t pending() const { return waiting_.size() + in_flight_; }
+    std::size_t pending() const { return pending_.size() + in_flight_; }
 
 private:
-    struct Waiting {
+    struct PendingResult {
         RunResult result;
         SteadyTime not_before{};
     };
 
     void flush();
     void send(const NodeAddress& owner, std::vector<RunResult> batch);
-    void settle(const NodeAddress& owner, std::vector<RunResult> batch, const CallResult& result);
+    void onReply(const NodeAddress& owner, std::vector<RunResult> batch, const CallResult& result);
     void armRetry();
 
     Scheduler& scheduler_;
@@ -46,12 +47,12 @@
     EdgeCounters& counters_;
     std::string edge_;
     NodeAddress address_;
-    MaySend may_send_;
-    Taken taken_;
-    std::deque<Waiting> waiting_;
+    SendFilter may_send_;
+    AcknowledgedHandler on_acknowledged_;
+    std::deque<PendingResult> pending_;
     std::size_t in_flight_ = 0;
-    std::set<NodeAddress> busy_;  // owners with an open call
-    TimerHandle retry_;
+    std::set<NodeAddress> busy_owners_;  // owners with an open call
+    TimerHandle retry_timer_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/server_subset.cpp
+++ b/src/cluster/edge/server_subset.cpp
@@ -7,31 +7,31 @@
 namespace {
 
 // Parts of the connections that a server takes.
-constexpr double kMostWithoutSubsets = 0.9;  // the rest is a reserve
-constexpr double kMostOfRegion = 0.75;
-constexpr double kPlannedOfRegion = 0.5;
-constexpr double kMostFromBeyond = 0.25;
-constexpr std::uint64_t kFewestServers = 2;  // of a subset: one may fail
-constexpr std::uint64_t kBeyondRegion = 1;
+constexpr double kAllServersShare = 0.9;  // the rest is a reserve
+constexpr double kMaxRegionShare = 0.75;
+constexpr double kPlannedRegionShare = 0.5;
+constexpr double kMaxRemoteShare = 0.25;
+constexpr std::uint64_t kMinServers = 2;  // of a subset: one may fail
+constexpr std::uint64_t kRemoteServers = 1;
 
 using Indices = std::vector<std::size_t>;
 
-void sortByPlace(Indices& indices, const std::vector<ServerPlace>& servers, const Topology& topology) {
+void sortByLocation(Indices& indices, const std::vector<ServerLocation>& servers, const Topology& topology) {
     const auto key = [&](std::size_t index) {
-        const ServerPlace& server = servers[index];
+        const ServerLocation& server = servers[index];
         return std::tie(topology.regionOf(server.zone), server.zone, server.uid);
     };
     std::sort(indices.begin(), indices.end(),
               [&key](std::size_t left, std::size_t right) { return key(left) < key(right); });
 }
 
-std::uint64_t connectionsOf(std::uint32_t max_connections, double part) {
-    return static_cast<std::uint64_t>(part * max_connections);
+std::uint64_t connectionsFor(std::uint32_t max_connections, double share_of_connections) {
+    return static_cast<std::uint64_t>(share_of_connections * max_connections);
 }
 
 // How many of the servers each dispatcher may choose, so that no server is chosen by more than `most`.
-std::uint64_t sizeFor(std::uint64_t servers, std::uint64_t most, std::uint64_t edges) {
-    return std::min(servers, servers * most / edges);
+std::uint64_t subsetSize(std::uint64_t servers, std::uint64_t max_edges_per_server, std::uint64_t edges) {
+    return std::min(servers, servers * max_edges_per_server / edges);
 }
 
 // The part of a dispatcher in the ring of servers; each is chosen as often as any other, give or take one.
@@ -42,8 +42,8 @@
 }
 
 // Fewer connections than dispatchers: as many of these as there are connections get one, evenly spread.
-void chooseForFew(const Indices& ring, std::uint64_t connections, const EdgeShare& share,
-                  std::vector<bool>& chosen) {
+void chooseForSomeEdges(const Indices& ring, std::uint64_t connections, const EdgeShare& share,
+                        std::vector<bool>& chosen) {
     const std::uint64_t rank = share.region_rank;
     const std::uint64_t edges = share.region_edges;
     const bool has_one = (rank + 1) * connections / edges > rank * connections / edges;
@@ -51,29 +51,31 @@
 }
 
 // The dispatchers of each region have their part, by their number, of what is left to those from beyond.
-void chooseFromBeyond(const Indices& ring, std::uint64_t wanted, std::uint32_t max_connections,
-                      const EdgeShare& share, std::vector<bool>& chosen) {
-    const std::uint64_t for_all = connectionsOf(max_connections, kMostFromBeyond);
-    const std::uint64_t most = for_all * share.region_edges / share.edges;
-    const std::uint64_t size = std::min(wanted, sizeFor(ring.size(), most, share.region_edges));
+void chooseFromOtherRegions(const Indices& ring, std::uint64_t wanted, std::uint32_t max_connections,
+                            const EdgeShare& share, std::vector<bool>& chosen) {
+    const std::uint64_t remote_connections = connectionsFor(max_connections, kMaxRemoteShare);
+    const std::uint64_t max_edges_per_server = remote_connections * share.region_edges / share.edges;
+    const std::uint64_t size =
+        std::min(wanted, subsetSize(ring.size(), max_edges_per_server, share.region_edges));
     if (size > 0) return chooseFromRing(ring, size, share, chosen);
-    if (!ring.empty()) chooseForFew(ring, ring.size() * most, share, chosen);
+    if (!ring.empty()) chooseForSomeEdges(ring, ring.size() * max_edges_per_server, share, chosen);
 }
 
 void chooseFromRegion(const Indices& ring, std::uint32_t max_connections, const EdgeShare& share,
                       std::vector<bool>& chosen) {
-    const auto size = [&](double part) {
-        return sizeFor(ring.size(), connectionsOf(max_connections, part), share.region_edges);
+    const auto size = [&](double share_of_connections) {
+        return subsetSize(ring.size(), connectionsFor(max_connections, share_of_connections),
+                          share.region_edges);
     };
-    const std::uint64_t wanted = std::max(size(kPlannedOfRegion), kFewestServers);
-    const std::uint64_t allowed = std::min(size(kMostOfRegion), wanted);
+    const std::uint64_t wanted = std::max(size(kPlannedRegionShare), kMinServers);
+    const std::uint64_t allowed = std::min(size(kMaxRegionShare), wanted);
     if (allowed > 0) return chooseFromRing(ring, allowed, share, chosen);
-    chooseForFew(ring, ring.size() * connectionsOf(max_connections, kMostOfRegion), share, chosen);
+    chooseForSomeEdges(ring, ring.size() * connectionsFor(max_connections, kMaxRegionShare), share, chosen);
 }
 
 }  // namespace
 
-ServerSubset chooseServers(const std::vector<ServerPlace>& servers, const Topology& topology,
+ServerSubset chooseServers(const std::vector<ServerLocation>& servers, const Topology& topology,
                            const std::string& zone, std::uint32_t max_connections, EdgeShare share) {
     ServerSubset subset;
     share.region_edges = std::max<std::uint32_t>(1, share.region_edges);
@@ -82,21 +84,21 @@
     const bool all_may_connect = share.edges <= max_connections;
     subset.chosen.assign(servers.size(), all_may_connect);
     if (all_may_connect) {
-        const std::uint64_t each = connectionsOf(max_connections, kMostWithoutSubsets) / share.edges;
-        subset.connections_each = static_cast<std::uint32_t>(std::max<std::uint64_t>(1, each));
+        const std::uint64_t each = connectionsFor(max_connections, kAllServersShare) / share.edges;
+        subset.connections_per_server = static_cast<std::uint32_t>(std::max<std::uint64_t>(1, each));
         return subset;
     }
-    Indices own;
-    Indices beyond;
+    Indices local;
+    Indices remote;
     for (std::size_t index = 0; index < servers.size(); ++index) {
-        const bool is_own = topology.distanceBetween(zone, servers[index].zone) != Distance::other_region;
-        (is_own ? own : beyond).push_back(index);
+        const bool is_local = topology.distanceBetween(zone, servers[index].zone) != Distance::other_region;
+        (is_local ? local : remote).push_back(index);
     }
-    sortByPlace(own, servers, topology);
-    sortByPlace(beyond, servers, topology);
-    if (!own.empty()) chooseFromRegion(own, max_connections, share, subset.chosen);
-    const std::uint64_t wanted = own.empty() ? beyond.size() : kBeyondRegion;
-    chooseFromBeyond(beyond, wanted, max_connections, share, subset.chosen);
+    sortByLocation(local, servers, topology);
+    sortByLocation(remote, servers, topology);
+    if (!local.empty()) chooseFromRegion(local, max_connections, share, subset.chosen);
+    const std::uint64_t wanted = local.empty() ? remote.size() : kRemoteServers;
+    chooseFromOtherRegions(remote, wanted, max_connections, share, subset.chosen);
     return subset;
 }
 
--- a/src/cluster/edge/server_subset.hpp
+++ b/src/cluster/edge/server_subset.hpp
@@ -12,14 +12,14 @@
 
 namespace amberswitch::cluster {
 
-struct ServerPlace {
+struct ServerLocation {
     std::string uid;
     std::string zone;
 };
 
 struct ServerSubset {
-    std::vector<bool> chosen;            // by server, as given
-    std::uint32_t connections_each = 1;  // to each chosen one
+    std::vector<bool> chosen;                  // by server, as given
+    std::uint32_t connections_per_server = 1;  // to each chosen one
 };
 
 // `zone`: of the dispatcher; `max_connections`: of each server, from all dispatchers together.
@@ -29,7 +29,7 @@
 // everybody two servers: connections of dispatchers that lost power stand at the servers for a while, beside
 // those of the processes that follow them. The last quarter is for one server beyond the own region, in case
 // that its own are bad, and for dispatchers in whose region there is none.
-ServerSubset chooseServers(const std::vector<ServerPlace>& servers, const Topology& topology,
+ServerSubset chooseServers(const std::vector<ServerLocation>& servers, const Topology& topology,
                            const std::string& zone, std::uint32_t max_connections, EdgeShare share);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -15,16 +15,16 @@
 using heronmount::Standing;
 using heronmount::Worker;
 
-constexpr std::uint32_t kMostSends = 3;           // inside one grant, all but the last surely not run
+constexpr std::uint32_t kMaxSends = 3;            // inside one grant, all but the last surely not run
 constexpr Millis kAnswerGrace{100};               // the server itself answers 504 at its Deadline-Ms
-constexpr Millis kLongestQueueing{1000};          // for a free connection, before the grant goes back
+constexpr Millis kMaxQueueTime{1000};             // for a free connection, before the grant goes back
 constexpr double kEndpointConnectionShare = 0.9;  // of what an endpoint takes; the rest is a reserve
 constexpr std::chrono::seconds kWarmUp{3};        // over which a cold server's share grows
 // A server in another zone is taken once those of the own zone hold about one more message of this edge.
-constexpr double kCrossZonePrice = 0.03;
+constexpr double kCrossZoneCost = 0.03;
 // What the way to another region costs, in parts of the above.
 constexpr double kCrossRegionFactor = 4;
-constexpr double kRebuildBeyond = 1.5;  // change of the number of dispatchers
+constexpr double kRebuildRatio = 1.5;  // change of the number of dispatchers
 
 std::uint64_t hashOf(std::string_view text) {
     return XXH64(text.data(), text.size(), 0);
@@ -33,17 +33,17 @@
 }  // namespace
 
 ServiceDispatcher::ServiceDispatcher(Scheduler& scheduler, HttpClient& servers, EdgeCounters& counters,
-                                     std::string edge, std::string zone, Topology topology, Allowed allowed,
-                                     Finished finished)
+                                     std::string edge, std::string zone, Topology topology,
+                                     RouteCheck follows_configuration, FinishedHandler on_finished)
     : scheduler_(scheduler),
       http_(servers),
       counters_(counters),
       edge_(std::move(edge)),
       zone_(std::move(zone)),
       topology_(std::move(topology)),
-      allowed_(std::move(allowed)),
-      finished_(std::move(finished)),
-      timers_(scheduler, [this](std::uint64_t tag) { tell(heronmount::TimerFired{tag}); }) {
+      follows_configuration_(std::move(follows_configuration)),
+      on_finished_(std::move(on_finished)),
+      module_timers_(scheduler, [this](std::uint64_t tag) { notifyModule(heronmount::TimerFired{tag}); }) {
     zoneIndex(zone_);
 }
 
@@ -54,9 +54,9 @@
     schedule_target_ = schedule_target;
     share_ = share;
     share_.edges = std::max<std::uint32_t>(1, share.edges);
-    const std::uint32_t attempts = service_.rate_per_s > 0 ? 1 : kMostSends;
+    const std::uint32_t attempts = service_.rate_per_s > 0 ? 1 : kMaxSends;
     const double change = static_cast<double>(share_.edges) / std::max<std::uint32_t>(1, module_edges_);
-    const bool resized = change > kRebuildBeyond || change < 1 / kRebuildBeyond;
+    const bool resized = change > kRebuildRatio || change < 1 / kRebuildRatio;
     if (!module_ || resized || attempts != module_attempts_) {
         module_attempts_ = attempts;
         rebuildModule();
@@ -84,7 +84,7 @@
     settings.maxAttempts = module_attempts_;
     settings.weights = heronmount::Weights::nominal;
     settings.handshakePrice = 1;  // connections are kept
-    settings.crossZonePrice = kCrossZonePrice;
+    settings.crossZonePrice = kCrossZoneCost;
     // No budget for cold servers: these queue and refuse what they can't take, and a budget that is drawn
     // from what this edge was served lately would hold everything back where all servers of a service start
     // at once.
@@ -93,21 +93,21 @@
 }
 
 void ServiceDispatcher::rebuildModule() {
-    ++module_number_;
+    ++module_generation_;
     module_edges_ = share_.edges;
-    timers_.clear();
-    const std::uint64_t seed = hashOf(edge_ + '/' + service_.name) + module_number_;
+    module_timers_.clear();
+    const std::uint64_t seed = hashOf(edge_ + '/' + service_.name) + module_generation_;
     module_ = std::make_unique<heronmount::Dispatcher>(moduleSettings(), seed);
-    tellRoster();
+    sendRoster();
     std::vector<RequestId> waiting;
     for (auto& [id, delivery] : deliveries_) {
-        if (delivery.told && !delivery.in_flight) waiting.push_back(id);
+        if (delivery.known_to_module && !delivery.in_flight) waiting.push_back(id);
     }
     for (const RequestId id : waiting) {
-        deliveries_[id].told = false;
-        --in_module_;
+        deliveries_[id].known_to_module = false;
+        --requests_in_module_;
         deliveries_[id].sends = 0;
-        arrive(id);
+        submitToModule(id);
     }
 }
 
@@ -133,16 +133,16 @@
     for (Worker handle = 0; handle < servers_.size(); ++handle) {
         if (seen[handle] || servers_[handle].entry.standing == Standing::off) continue;
         servers_[handle].entry.standing = Standing::off;
-        servers_[handle].on = false;
+        servers_[handle].usable = false;
         changed = true;
         http_.forget(servers_[handle].address);
     }
     if (!changed) return;
-    servers_on_ = static_cast<std::size_t>(
-        std::count_if(servers_.begin(), servers_.end(), [](const Server& server) { return server.on; }));
-    tellRoster();
-    if (servers_on_ == 0) handBackWaiting();
-    beginQueued();
+    usable_servers_ = static_cast<std::size_t>(
+        std::count_if(servers_.begin(), servers_.end(), [](const Server& server) { return server.usable; }));
+    sendRoster();
+    if (usable_servers_ == 0) handBackWaiting();
+    startQueued();
 }
 
 // The servers that are not draining, or this dispatcher's part of them.
@@ -150,20 +150,20 @@
     if (service_.endpoint) {
         // Its owners choose the few dispatchers that connect to it, and may choose any.
         const double each = kEndpointConnectionShare * service_.max_connections / share_.edges;
-        connections_each_ = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(each));
-        servers_ready_ = 1;
+        connections_per_server_ = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(each));
+        available_servers_ = 1;
         return {std::string()};
     }
-    std::vector<ServerPlace> places;
+    std::vector<ServerLocation> locations;
     for (const ServerEntry* const entry : listed) {
-        if (!entry->draining) places.push_back({entry->uid, entry->zone});
+        if (!entry->draining) locations.push_back({entry->uid, entry->zone});
     }
-    const ServerSubset subset = chooseServers(places, topology_, zone_, service_.max_connections, share_);
-    connections_each_ = subset.connections_each;
-    servers_ready_ = places.size();
+    const ServerSubset subset = chooseServers(locations, topology_, zone_, service_.max_connections, share_);
+    connections_per_server_ = subset.connections_per_server;
+    available_servers_ = locations.size();
     std::set<std::string> usable;
-    for (std::size_t index = 0; index < places.size(); ++index) {
-        if (subset.chosen[index]) usable.insert(places[index].uid);
+    for (std::size_t index = 0; index < locations.size(); ++index) {
+        if (subset.chosen[index]) usable.insert(locations[index].uid);
     }
     return usable;
 }
@@ -182,7 +182,7 @@
     }
     Server& server = servers_[at->second];
     const Standing standing = usable ? Standing::on : Standing::draining;
-    if (server.on && !usable && !listed.draining) http_.forget(listed.address);
+    if (server.usable && !usable && !listed.draining) http_.forget(listed.address);
     const double units = std::max<std::uint32_t>(1, listed.capacity);
     const int zone = zoneIndex(listed.zone);
     const bool changed = fresh || server.entry.standing != standing || server.entry.units != units ||
@@ -193,16 +193,16 @@
     server.entry.zone = zone;
     server.entry.crossing =
         topology_.distanceBetween(zone_, listed.zone) == Distance::other_region ? kCrossRegionFactor : 1;
-    server.on = standing == Standing::on;
+    server.usable = standing == Standing::on;
     return changed;
 }
 
-void ServiceDispatcher::tellRoster() {
+void ServiceDispatcher::sendRoster() {
     if (!module_ || servers_.empty()) return;
     heronmount::RosterUpdate update;
     update.mode = heronmount::RosterMode::whole;
     for (const Server& server : servers_) update.entries.push_back(server.entry);
-    tell(std::move(update));
+    notifyModule(std::move(update));
 }
 
 bool ServiceDispatcher::isConnected() const {
@@ -211,39 +211,39 @@
 
 // --- Deliveries --------------------------------------------------------------------------------------------
 
-void ServiceDispatcher::begin(Grant grant) {
+void ServiceDispatcher::start(Grant grant) {
     const RequestId id = ++last_id_;
     Delivery& delivery = deliveries_[id];
     delivery.grant = std::move(grant);
     if (!hasServer()) {
         ++counters_.no_server;
-        return finish(id, {RunOutcome::not_run, "", servers_ready_ == 0});
+        return finish(id, {RunOutcome::not_run, "", available_servers_ == 0});
     }
-    if (queued_.empty() && room()) return arrive(id);
-    delivery.queued_until = scheduler_.now() + kLongestQueueing;
+    if (queued_.empty() && hasRoom()) return submitToModule(id);
+    delivery.queued_until = scheduler_.now() + kMaxQueueTime;
     queued_.push_back(id);
-    beginQueued();
+    startQueued();
 }
 
-bool ServiceDispatcher::room() const {
-    return in_module_ < std::size_t{connections_each_} * servers_on_;
+bool ServiceDispatcher::hasRoom() const {
+    return requests_in_module_ < std::size_t{connections_per_server_} * usable_servers_;
 }
 
-void ServiceDispatcher::arrive(RequestId id) {
+void ServiceDispatcher::submitToModule(RequestId id) {
     Delivery& delivery = deliveries_[id];
-    delivery.told = true;
-    ++in_module_;
+    delivery.known_to_module = true;
+    ++requests_in_module_;
     heronmount::RequestArrived arrival;
     arrival.id = id;
     arrival.timeLeft = Millis(std::max<std::int64_t>(1, delivery.grant.timeout_ms));
-    tell(arrival);
+    notifyModule(arrival);
 }
 
-void ServiceDispatcher::beginQueued() {
-    while (!queued_.empty() && room()) {
+void ServiceDispatcher::startQueued() {
+    while (!queued_.empty() && hasRoom()) {
         const RequestId id = queued_.front();
         queued_.pop_front();
-        arrive(id);
+        submitToModule(id);
     }
     while (!queued_.empty() && deliveries_[queued_.front()].queued_until <= scheduler_.now()) {
         const RequestId id = queued_.front();
@@ -253,7 +253,7 @@
     }
     if (queued_.empty()) return queue_timer_.reset();
     const auto wait = std::chrono::ceil<Millis>(deliveries_[queued_.front()].queued_until - scheduler_.now());
-    queue_timer_ = scheduler_.after(wait, [this] { beginQueued(); });
+    queue_timer_ = scheduler_.after(wait, [this] { startQueued(); });
 }
 
 void ServiceDispatcher::handBackWaiting() {
@@ -261,13 +261,13 @@
     for (const auto& [id, delivery] : deliveries_) {
         if (!delivery.in_flight) waiting.push_back(id);
     }
-    handBack(waiting, {RunOutcome::not_run, "", servers_ready_ == 0});
+    handBack(waiting, {RunOutcome::not_run, "", available_servers_ == 0});
 }
 
 void ServiceDispatcher::handBackMisdirected() {
     std::vector<RequestId> waiting;
     for (const auto& [id, delivery] : deliveries_) {
-        if (!delivery.in_flight && !allowed_(delivery.grant)) waiting.push_back(id);
+        if (!delivery.in_flight && !follows_configuration_(delivery.grant)) waiting.push_back(id);
     }
     counters_.misdirected += waiting.size();
     handBack(waiting, {RunOutcome::not_run, "", false});
@@ -279,36 +279,36 @@
         // What the module is told of one may move another on.
         const auto found = deliveries_.find(id);
         if (found == deliveries_.end() || found->second.in_flight) continue;
-        if (found->second.told) tell(heronmount::ClientLeft{id});
+        if (found->second.known_to_module) notifyModule(heronmount::ClientLeft{id});
         finish(id, result);
     }
     std::erase_if(queued_, [this](const RequestId id) { return !deliveries_.contains(id); });
-    beginQueued();
+    startQueued();
 }
 
 // --- The module --------------------------------------------------------------------------------------------
 
-void ServiceDispatcher::tell(heronmount::Event event) {
-    inbox_.push_back(std::move(event));
-    if (turning_) return;
-    turning_ = true;
-    while (!inbox_.empty()) {
-        const heronmount::Event next = std::move(inbox_.front());
-        inbox_.pop_front();
+void ServiceDispatcher::notifyModule(heronmount::Event event) {
+    pending_events_.push_back(std::move(event));
+    if (processing_events_) return;
+    processing_events_ = true;
+    while (!pending_events_.empty()) {
+        const heronmount::Event next = std::move(pending_events_.front());
+        pending_events_.pop_front();
         actions_.clear();
         module_->on(moduleTime(), next, actions_);
         const std::vector<heronmount::Action> actions = std::exchange(actions_, {});
-        for (const heronmount::Action& action : actions) carryOut(action);
+        for (const heronmount::Action& action : actions) execute(action);
     }
-    turning_ = false;
+    processing_events_ = false;
 }
 
-void ServiceDispatcher::carryOut(const heronmount::Action& action) {
+void ServiceDispatcher::execute(const heronmount::Action& action) {
     if (const auto* const wanted = std::get_if<heronmount::Send>(&action)) return send(*wanted);
-    if (const auto* const refuse = std::get_if<heronmount::Refuse>(&action)) return givenUp(refuse->id);
-    if (const auto* const fail = std::get_if<heronmount::Fail>(&action)) return givenUp(fail->id);
+    if (const auto* const refuse = std::get_if<heronmount::Refuse>(&action)) return onGivenUp(refuse->id);
+    if (const auto* const fail = std::get_if<heronmount::Fail>(&action)) return onGivenUp(fail->id);
     if (const auto* const timer = std::get_if<heronmount::SetTimer>(&action)) {
-        return timers_.set(timer->delay, timer->tag);
+        return module_timers_.set(timer->delay, timer->tag);
     }
     if (const auto* const idle = std::get_if<heronmount::CloseIdle>(&action)) {
         http_.forget(servers_[idle->worker].address);
@@ -321,21 +321,21 @@
     Delivery& delivery = found->second;
     const std::uint32_t attempt = delivery.sends++;
     const Server& server = servers_[action.worker];
-    const bool has_connection = server.in_flight < connections_each_;
-    if (server.on && has_connection && allowed_(delivery.grant))
+    const bool has_connection = server.in_flight < connections_per_server_;
+    if (server.usable && has_connection && follows_configuration_(delivery.grant))
         return post(action.id, delivery, action.worker);
-    if (server.on && !has_connection) ++counters_.no_free_connection;
+    if (server.usable && !has_connection) ++counters_.no_free_connection;
     delivery.all_unreachable = false;  // nothing was tried
     heronmount::AttemptEnded ended;
     ended.id = action.id;
     ended.attempt = attempt;
     ended.outcome = Outcome::moot;
-    tell(ended);
+    notifyModule(ended);
 }
 
 void ServiceDispatcher::post(RequestId id, Delivery& delivery, Worker worker) {
     checkInvariant(Invariant::one_run_in_a_grant, !delivery.may_have_run, delivery.grant.content.id);
-    checkInvariant(Invariant::delivery_follows_configuration, allowed_(delivery.grant),
+    checkInvariant(Invariant::delivery_follows_configuration, follows_configuration_(delivery.grant),
                    delivery.grant.content.id);
     Server& server = servers_[worker];
     ++server.in_flight;
@@ -346,11 +346,11 @@
     call.to = server.address;
     call.request = requestFor(delivery.grant, server.uid);
     call.timeout = Millis(delivery.grant.timeout_ms) + kAnswerGrace;
-    call.max_connections = connections_each_;
+    call.max_connections = connections_per_server_;
     const std::uint32_t attempt = delivery.sends - 1;
     http_.send(std::move(call),
-               [this, id, worker, number = module_number_, attempt](const HttpOutcome& outcome) {
-                   answered(id, worker, number, attempt, outcome);
+               [this, id, worker, generation = module_generation_, attempt](const HttpOutcome& outcome) {
+                   onOutcome(id, worker, generation, attempt, outcome);
                });
 }
 
@@ -368,36 +368,36 @@
     return request;
 }
 
-void ServiceDispatcher::answered(RequestId id, Worker worker, std::uint64_t module_number,
-                                 std::uint32_t attempt, const HttpOutcome& outcome) {
+void ServiceDispatcher::onOutcome(RequestId id, Worker worker, std::uint64_t module_generation,
+                                  std::uint32_t attempt, const HttpOutcome& outcome) {
     --servers_[worker].in_flight;
     const auto found = deliveries_.find(id);
-    if (found == deliveries_.end()) return beginQueued();
+    if (found == deliveries_.end()) return startQueued();
     Delivery& delivery = found->second;
     delivery.in_flight = false;
-    const DeliveryAnswer answer = judgeAnswer(outcome, service_.rate_per_s > 0);
+    const DeliveryAnswer answer = classifyOutcome(outcome, service_.rate_per_s > 0);
     count(outcome, answer);
     delivery.may_have_run = delivery.may_have_run || answer.may_have_run;
     delivery.all_unreachable = delivery.all_unreachable && answer.unreachable;
-    const bool tried_all = delivery.sends >= servers_ready_;
+    const bool tried_all = delivery.sends >= available_servers_;
     const DeliveryResult result{answer.outcome, answer.stamp, tried_all && delivery.all_unreachable};
-    const bool goes_on = answer.try_elsewhere && !delivery.given_up && module_number == module_number_ &&
-                         allowed_(delivery.grant);
-    if (module_number == module_number_) {
+    const bool goes_on = answer.try_elsewhere && !delivery.given_up &&
+                         module_generation == module_generation_ && follows_configuration_(delivery.grant);
+    if (module_generation == module_generation_) {
         heronmount::AttemptEnded ended;
         ended.id = id;
         ended.attempt = attempt;
-        ended.outcome = answer.about_server;
+        ended.outcome = answer.server_outcome;
         ended.took = scheduler_.now() - delivery.sent_at;
         ended.settled = !goes_on;
-        tell(ended);
+        notifyModule(ended);
     }
     if (!goes_on) finish(id, result);
-    beginQueued();
+    startQueued();
 }
 
 // The module sends it nowhere any more.
-void ServiceDispatcher::givenUp(RequestId id) {
+void ServiceDispatcher::onGivenUp(RequestId id) {
     const auto found = deliveries_.find(id);
     if (found == deliveries_.end()) return;
     Delivery& delivery = found->second;
@@ -405,7 +405,7 @@
         delivery.given_up = true;
         return;
     }
-    const bool tried_all = delivery.sends >= servers_ready_;
+    const bool tried_all = delivery.sends >= available_servers_;
     const bool down = tried_all && delivery.all_unreachable;
     finish(id, {RunOutcome::not_run, "", down});
 }
@@ -414,10 +414,10 @@
     const auto found = deliveries_.find(id);
     if (found == deliveries_.end()) return;
     Grant grant = std::move(found->second.grant);
-    if (found->second.told) --in_module_;
+    if (found->second.known_to_module) --requests_in_module_;
     deliveries_.erase(found);
     count(result.outcome);
-    finished_(std::move(grant), std::move(result));
+    on_finished_(std::move(grant), std::move(result));
 }
 
 // --- Counters ----------------------------------------------------------------------------------------------
--- a/src/cluster/edge/owner_links.cpp
+++ b/src/cluster/edge/store_heartbeats.cpp
@@ -1,4 +1,4 @@
-#include "cluster/edge/owner_links.hpp"
+#include "cluster/edge/store_heartbeats.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,35 +9,35 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kProbe{100};
+constexpr Millis kProbeInterval{100};
 constexpr Millis kCallTimeout{500};
 
 }  // namespace
 
-OwnerLinks::OwnerLinks(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
-                       const Deliveries& deliveries, EdgeIdentity self)
+StoreHeartbeats::StoreHeartbeats(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
+                                 const Deliveries& deliveries, EdgeIdentity self)
     : scheduler_(scheduler),
       transport_(transport),
       partitions_(partitions),
       deliveries_(deliveries),
       self_(std::move(self)) {}
 
-void OwnerLinks::start() {
+void StoreHeartbeats::start() {
     syncAll();
     syncSuspected();
 }
 
-void OwnerLinks::onView() {
-    heartbeats_ = 0;  // every store is to hear of the new view
+void StoreHeartbeats::onView() {
+    heartbeat_count_ = 0;  // every store is to hear of the new view
     syncAll();
 }
 
-void OwnerLinks::leave() {
+void StoreHeartbeats::leave() {
     leaving_ = true;
     syncAll();
 }
 
-EdgeSync OwnerLinks::describe() const {
+EdgeSync StoreHeartbeats::makeSync() const {
     EdgeSync sync;
     sync.edge = self_.name;
     sync.zone = self_.zone;
@@ -45,57 +45,57 @@
     sync.incarnation = self_.incarnation;
     sync.view_epoch = partitions_.epoch();
     sync.leaving = leaving_;
-    sync.running = deliveries_.attempts();
+    sync.running = deliveries_.runningAttempts();
     sync.next_sync_within_ms = kEdgeHeartbeatInterval.count();
     return sync;
 }
 
-void OwnerLinks::syncAll() {
-    heartbeat_ = scheduler_.after(kEdgeHeartbeatInterval, [this] { syncAll(); });
-    const EdgeSync sync = describe();
-    const Envelope to_near = envelope(MessageKind::edge_sync, sync);
+void StoreHeartbeats::syncAll() {
+    heartbeat_timer_ = scheduler_.after(kEdgeHeartbeatInterval, [this] { syncAll(); });
+    const EdgeSync sync = makeSync();
+    const Envelope near_request = envelope(MessageKind::edge_sync, sync);
     for (const StoreMember* const store : partitions_.aliveStores()) {
-        if (restsNow(*store) && !runsFor(*store, sync)) continue;
-        send(store->member.address, isFar(*store) ? syncFor(*store, sync) : to_near);
+        if (skipsThisHeartbeat(*store) && !hasRunsFor(*store, sync)) continue;
+        send(store->member.address, isFar(*store) ? syncFor(*store, sync) : near_request);
     }
-    ++heartbeats_;
+    ++heartbeat_count_;
 }
 
-Envelope OwnerLinks::syncFor(const StoreMember& store, EdgeSync sync) const {
-    sync.next_sync_within_ms = nextWithin(store).count();
+Envelope StoreHeartbeats::syncFor(const StoreMember& store, EdgeSync sync) const {
+    sync.next_sync_within_ms = nextSyncWithin(store).count();
     return envelope(MessageKind::edge_sync, sync);
 }
 
-bool OwnerLinks::isFar(const StoreMember& store) const {
+bool StoreHeartbeats::isFar(const StoreMember& store) const {
     return partitions_.distanceTo(store) == Distance::other_region;
 }
 
 // Stores of other regions give their runs to nearer dispatchers while there are any.
-bool OwnerLinks::restsNow(const StoreMember& store) const {
-    return isFar(store) && !leaving_ && heartbeats_ % kRemoteIdleHeartbeatFactor != 0;
+bool StoreHeartbeats::skipsThisHeartbeat(const StoreMember& store) const {
+    return isFar(store) && !leaving_ && heartbeat_count_ % kRemoteIdleHeartbeatFactor != 0;
 }
 
-Millis OwnerLinks::nextWithin(const StoreMember& store) const {
+Millis StoreHeartbeats::nextSyncWithin(const StoreMember& store) const {
     return isFar(store) ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval : kEdgeHeartbeatInterval;
 }
 
-bool OwnerLinks::runsFor(const StoreMember& store, const EdgeSync& sync) const {
+bool StoreHeartbeats::hasRunsFor(const StoreMember& store, const EdgeSync& sync) const {
     return std::any_of(sync.running.begin(), sync.running.end(), [&](const RunningAttempt& running) {
         return partitions_.owner(running.partition) == &store;
     });
 }
 
-void OwnerLinks::syncSuspected() {
-    probe_ = scheduler_.after(kProbe, [this] { syncSuspected(); });
+void StoreHeartbeats::syncSuspected() {
+    probe_timer_ = scheduler_.after(kProbeInterval, [this] { syncSuspected(); });
     for (const StoreMember* const store : partitions_.aliveStores()) {
         const NodeAddress& address = store->member.address;
-        if (partitions_.suspected(address)) send(address, syncFor(*store, describe()));
+        if (partitions_.isSuspected(address)) send(address, syncFor(*store, makeSync()));
     }
 }
 
-void OwnerLinks::send(const NodeAddress& store, const Envelope& request) {
+void StoreHeartbeats::send(const NodeAddress& store, const Envelope& request) {
     transport_.call(store, request, kCallTimeout, [this, store](const CallResult& result) {
-        if (result.verdict == CallStatus::answered) partitions_.trust(store);
+        if (result.verdict == CallStatus::answered) partitions_.clearSuspicion(store);
     });
 }
 
--- a/src/cluster/edge/owner_links.hpp
+++ b/src/cluster/edge/store_heartbeats.hpp
@@ -12,10 +12,10 @@
 
 namespace amberswitch::cluster {
 
-class OwnerLinks {
+class StoreHeartbeats {
 public:
-    OwnerLinks(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
-               const Deliveries& deliveries, EdgeIdentity self);
+    StoreHeartbeats(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
+                    const Deliveries& deliveries, EdgeIdentity self);
 
     void start();
     void onView();
@@ -26,14 +26,14 @@
     void syncAll();
     // Asks the stores that did not answer lately whether they are back.
     void syncSuspected();
-    EdgeSync describe() const;
+    EdgeSync makeSync() const;
     Envelope syncFor(const StoreMember& store, EdgeSync sync) const;
     bool isFar(const StoreMember& store) const;
-    bool restsNow(const StoreMember& store) const;
+    bool skipsThisHeartbeat(const StoreMember& store) const;
     // Until the next sync that this store surely gets.
-    Millis nextWithin(const StoreMember& store) const;
+    Millis nextSyncWithin(const StoreMember& store) const;
     // Whether something of a partition of that store runs here.
-    bool runsFor(const StoreMember& store, const EdgeSync& sync) const;
+    bool hasRunsFor(const StoreMember& store, const EdgeSync& sync) const;
     void send(const NodeAddress& store, const Envelope& request);
 
     Scheduler& scheduler_;
@@ -42,9 +42,9 @@
     const Deliveries& deliveries_;
     EdgeIdentity self_;
     bool leaving_ = false;
-    std::int64_t heartbeats_ = 0;
-    TimerHandle heartbeat_;
-    TimerHandle probe_;
+    std::int64_t heartbeat_count_ = 0;
+    TimerHandle heartbeat_timer_;
+    TimerHandle probe_timer_;
 };
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -206,7 +206,7 @@
 
 TEST_CASE("a key's messages go to one partition, whatever the name of their route") {
     edge_test::EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const auto accepted = [&world](const std::string& id) {
         world.statusOf(world.request("/ordered/x", id, {{"Order-Key", "key"}}));
         for (const auto& store : world.stores) {
@@ -294,7 +294,7 @@
 TEST_CASE(
     "an edge does not run a message at a service to which its newest configuration no longer sends it") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->onConfiguration(sendingTo(*edge_test::configuration(), "plain", "partner"));
     world.push(0, {world.grant("id-1")});
     CHECK(world.http.sent.empty());
@@ -305,7 +305,7 @@
 
 TEST_CASE("a route's name under another path does not allow a message of the old path") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     auto changed = next(*edge_test::configuration());
     routeOf(*changed, "plain").path_prefix = "/elsewhere/";
     changed->buildIndexes();
@@ -316,9 +316,9 @@
 
 TEST_CASE("what waits inside an edge goes back when its route leads elsewhere") {
     EdgeWorld world(1, 3, 1);
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({43, 43, 0});  // two connections to the only server
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     for (int i = 0; i < 6; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     const std::size_t sent = world.http.sent.size();
     REQUIRE(sent < 6);
@@ -333,8 +333,8 @@
 
 TEST_CASE("an attempt that did not run is not sent on to a service that the route has left") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.http.sent.size() == 1);
     world.edge->onConfiguration(sendingTo(*edge_test::configuration(), "plain", "partner"));
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -102,7 +102,7 @@
         partitions.update(drawn.shared());
         std::set<NodeAddress> tried;
         Distance last = Distance::same_zone;
-        while (const auto partition = partitions.pick(drawn.random, tried)) {
+        while (const auto partition = partitions.pickPartition(drawn.random, tried)) {
             const StoreMember* const owner = partitions.owner(*partition);
             REQUIRE(owner != nullptr);
             const Distance distance = drawn.topology.distanceBetween(zone, owner->member.zone);
--- a/tests/cluster/edge_accept_test.cpp
+++ b/tests/cluster/edge_accept_test.cpp
@@ -12,14 +12,14 @@
 
 TEST_CASE("a stored message gets 202 with a reference that finds it again") {
     EdgeWorld world;
-    world.feed();
-    const auto response = world.ask(world.request("/plain/x", "id-1"));
+    world.provideAll();
+    const auto response = world.responseTo(world.request("/plain/x", "id-1"));
     REQUIRE(response);
     CHECK(response->status == 202);
     const MessageRef ref = parseMessageRef(headerValue(response->headers, "Message-Ref"));
     CHECK(ref.id == "id-1");
     REQUIRE(ref.partition);
-    REQUIRE(world.acceptsAsked() == 1);
+    REQUIRE(world.acceptRequestCount() == 1);
     CHECK(world.stores[*ref.partition % 3]->accepts.at(0).partition == *ref.partition);
 }
 
@@ -39,7 +39,7 @@
 TEST_CASE("what is no message of a route is refused by its fault") {
     EdgeWorld world;
     CHECK(world.statusOf(world.request("/plain/x", "early")) == 503);
-    world.feed();
+    world.provideAll();
     CHECK(world.statusOf(world.request("/nowhere/x", "id")) == 404);
     HttpRequest other_host = world.request("/plain/x", "id");
     other_host.headers[0].value = "other.example";
@@ -51,12 +51,12 @@
     CHECK(world.statusOf(world.request("/plain/x", "id", {{"Delay-Ms", "-5"}})) == 400);
     CHECK(world.statusOf(world.request("/plain/x", "id", {{"Callback-Url", "ftp://x"}})) == 400);
     CHECK(world.statusOf(world.request("/plain/x", std::string(80, 'a'))) == 400);
-    CHECK(world.acceptsAsked() == 0);
+    CHECK(world.acceptRequestCount() == 0);
 }
 
 TEST_CASE("the message reaches the owner exactly as it came, with its route's terms") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const HttpHeaders more = {
         {"Content-Type", "text/x"}, {"Delay-Ms", "1500"}, {"Callback-Url", "http://10.20.0.4:8080/done"}};
     CHECK(world.statusOf(world.request("/plain/x?a=b%20c", "id-1", more)) == 202);
@@ -83,7 +83,7 @@
 
 TEST_CASE("a message for an endpoint is run here only if a connection is open") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const auto wanted = [&world](const std::string& id) {
         CHECK(world.statusOf(world.request("/capped/x", id)) == 202);
         for (const auto& store : world.stores) {
@@ -100,7 +100,7 @@
 
 TEST_CASE("unordered messages go to owners in the own zone, ordered ones by their key") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     for (int i = 0; i < 20; ++i) {
         CHECK(world.statusOf(world.request("/plain/x", "u" + std::to_string(i))) == 202);
     }
@@ -109,13 +109,13 @@
     for (const auto& asked : world.stores[0]->accepts) partitions.insert(asked.partition);
     CHECK(partitions.size() > 1);
 
-    const std::size_t before = world.acceptsAsked();
+    const std::size_t before = world.acceptRequestCount();
     std::set<PartitionId> of_key;
     std::set<PartitionId> of_keys;
     for (int i = 0; i < 30; ++i) {
         const std::string key = "cab-" + std::to_string(i);
         for (int again = 0; again < 2; ++again) {
-            const auto response = world.ask(
+            const auto response = world.responseTo(
                 world.request("/ordered/x", key + "." + std::to_string(again), {{"Order-Key", key}}));
             const auto ref = parseMessageRef(headerValue(response->headers, "Message-Ref"));
             of_keys.insert(*ref.partition);
@@ -124,12 +124,12 @@
     }
     CHECK(of_key.size() == 1);
     CHECK(of_keys.size() > 4);
-    CHECK(world.acceptsAsked() == before + 60);
+    CHECK(world.acceptRequestCount() == before + 60);
 }
 
 TEST_CASE("an ordered route without a key takes messages as unordered") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     CHECK(world.statusOf(world.request("/ordered/x", "id-1")) == 202);
     REQUIRE(world.stores[0]->accepts.size() == 1);
     CHECK_FALSE(world.stores[0]->accepts[0].content.ordered);
@@ -137,7 +137,7 @@
 
 TEST_CASE("an unordered message that is surely nowhere goes to other owners, each once") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     SUBCASE("refused") {
         world.stores[0]->accept_reply = {AcceptStatus::refused, false, 0, 0};
     }
@@ -153,9 +153,9 @@
 
 TEST_CASE("where all owners refuse, the client gets 503 at once with a time to come back") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
-    const auto response = world.ask(world.request("/plain/x", "id-1"), Millis(60));
+    const auto response = world.responseTo(world.request("/plain/x", "id-1"), Millis(60));
     REQUIRE(response);
     CHECK(response->status == 503);
     CHECK_FALSE(headerValue(response->headers, "Retry-After").empty());
@@ -164,26 +164,26 @@
 
 TEST_CASE("an ordered message waits shortly for another owner, then gets 503") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.replyToAccepts({AcceptStatus::not_owner, false, 0, 0});
     const HttpRequest request = world.request("/ordered/x", "id-1", {{"Order-Key", "k"}});
     const SteadyTime start = world.world.now();
     CHECK(world.statusOf(request) == 503);
     CHECK(world.world.now() - start <= Millis(30 + 10 + 2));
-    CHECK(world.acceptsAsked() == 1);
+    CHECK(world.acceptRequestCount() == 1);
 }
 
 TEST_CASE("an ordered message goes to the new owner that a newer view names") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     for (auto& store : world.stores) store->die();
     for (int i = 0; i < 3; ++i) {
         world.stores[static_cast<std::size_t>(i)] = std::make_unique<FakeStore>(
             world.world, world.network, NodeAddress{"10.3.0." + std::to_string(i + 1), 7782});
     }
     std::optional<HttpResponse> response;
-    world.edge->handleFront(world.request("/ordered/x", "id-1", {{"Order-Key", "k"}}),
-                            [&](HttpResponse given) { response = std::move(given); });
+    world.edge->handleClientRequest(world.request("/ordered/x", "id-1", {{"Order-Key", "k"}}),
+                                    [&](HttpResponse given) { response = std::move(given); });
     world.world.run(Millis(8));
     CHECK_FALSE(response);
     world.edge->onView(world.view(2));
@@ -194,22 +194,22 @@
 
 TEST_CASE("what may be stored without a clear answer gets 504, never 503") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     SUBCASE("the owner does not know") {
         world.replyToAccepts({AcceptStatus::unknown, false, 0, 0});
         CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 504);
-        CHECK(world.acceptsAsked() == 1);
+        CHECK(world.acceptRequestCount() == 1);
     }
     SUBCASE("silence, until the client's deadline") {
         for (auto& store : world.stores) store->answers_accepts = false;
         const SteadyTime start = world.world.now();
         CHECK(world.statusOf(world.request("/plain/x", "id-1", {{"Deadline-Ms", "300"}})) == 504);
         CHECK(world.world.now() - start == Millis(300));
-        CHECK(world.acceptsAsked() == 1);
+        CHECK(world.acceptRequestCount() == 1);
     }
     SUBCASE("silence, for two and a half times the target, within bounds") {
         for (auto& store : world.stores) store->answers_accepts = false;
-        const auto patience = [&](const std::string& id, Millis target) {
+        const auto answerDelay = [&](const std::string& id, Millis target) {
             auto changed = std::make_shared<Configuration>(*edge_test::configuration());
             for (Route& route : changed->routes) route.target_latency = target;
             changed->buildIndexes();
@@ -219,9 +219,9 @@
             CHECK(world.statusOf(world.request("/ordered/x", id, {{"Order-Key", "k"}})) == 504);
             return world.world.now() - start;
         };
-        CHECK(patience("id-1", Millis(120)) == Millis(300));
-        CHECK(patience("id-2", Millis(20)) == Millis(150));
-        CHECK(patience("id-3", Millis(900)) == Millis(1000));
+        CHECK(answerDelay("id-1", Millis(120)) == Millis(300));
+        CHECK(answerDelay("id-2", Millis(20)) == Millis(150));
+        CHECK(answerDelay("id-3", Millis(900)) == Millis(1000));
     }
 }
 
@@ -231,13 +231,14 @@
 class BreakingTransport : public Transport {
 public:
     BreakingTransport(World& world, Transport& below) : world_(world), below_(below) {}
-    int breaks = 0;
+    int connections_to_break = 0;
     void serve(RequestHandler handler) override { below_.serve(std::move(handler)); }
     void call(const NodeAddress& to, Envelope request, Millis timeout,
               std::function<void(CallResult)> done) override {
         const bool accept = request.kind == static_cast<std::uint16_t>(MessageKind::accept_message);
-        if (!accept || breaks == 0) return below_.call(to, std::move(request), timeout, std::move(done));
-        --breaks;
+        if (!accept || connections_to_break == 0)
+            return below_.call(to, std::move(request), timeout, std::move(done));
+        --connections_to_break;
         world_.at(world_.now() + Millis(2), [done] { done({CallStatus::unknown, {}}); });
     }
 
@@ -248,8 +249,8 @@
 
 struct BreakingEdge {
     EdgeWorld world;
-    BreakingTransport breaking{world.world, *world.transport};
-    EdgeNode edge{world.scheduler, breaking, world.http, edgeSettings(), Incarnation{9}};
+    BreakingTransport breaking_transport{world.world, *world.transport};
+    EdgeNode edge{world.scheduler, breaking_transport, world.http, edgeSettings(), Incarnation{9}};
 
     BreakingEdge() {
         edge.start();
@@ -258,7 +259,7 @@
     }
     int statusOf(const HttpRequest& request) {
         int status = 0;
-        edge.handleFront(request, [&](const HttpResponse& response) { status = response.status; });
+        edge.handleClientRequest(request, [&](const HttpResponse& response) { status = response.status; });
         world.world.run(Millis(1100));
         return status;
     }
@@ -267,36 +268,37 @@
 }  // namespace
 
 TEST_CASE("after a broken connection an unordered message goes to another owner under the same id") {
-    BreakingEdge play;
-    play.breaking.breaks = 1;
-    CHECK(play.statusOf(play.world.request("/plain/x", "id-1")) == 202);
-    CHECK(play.world.acceptsAsked() == 1);
+    BreakingEdge fixture;
+    fixture.breaking_transport.connections_to_break = 1;
+    CHECK(fixture.statusOf(fixture.world.request("/plain/x", "id-1")) == 202);
+    CHECK(fixture.world.acceptRequestCount() == 1);
 }
 
 TEST_CASE("a refusal after a broken connection is no promise: 504") {
-    BreakingEdge play;
-    play.breaking.breaks = 1;
-    play.world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
-    CHECK(play.statusOf(play.world.request("/plain/x", "id-1")) == 504);
+    BreakingEdge fixture;
+    fixture.breaking_transport.connections_to_break = 1;
+    fixture.world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
+    CHECK(fixture.statusOf(fixture.world.request("/plain/x", "id-1")) == 504);
 }
 
 TEST_CASE("an ordered message whose owner's connection broke gets 504") {
-    BreakingEdge play;
-    play.breaking.breaks = 1;
-    CHECK(play.statusOf(play.world.request("/ordered/x", "id-1", {{"Order-Key", "k"}})) == 504);
-    CHECK(play.world.acceptsAsked() == 0);
+    BreakingEdge fixture;
+    fixture.breaking_transport.connections_to_break = 1;
+    CHECK(fixture.statusOf(fixture.world.request("/ordered/x", "id-1", {{"Order-Key", "k"}})) == 504);
+    CHECK(fixture.world.acceptRequestCount() == 0);
 }
 
 TEST_CASE("more open accepts than the bound are turned away at once") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     for (auto& store : world.stores) store->answers_accepts = false;
     int open = 0;
     std::vector<int> statuses;
     for (int i = 0; i < 410; ++i) {
         ++open;
-        world.edge->handleFront(world.request("/plain/x", "id-" + std::to_string(i)),
-                                [&](const HttpResponse& response) { statuses.push_back(response.status); });
+        world.edge->handleClientRequest(
+            world.request("/plain/x", "id-" + std::to_string(i)),
+            [&](const HttpResponse& response) { statuses.push_back(response.status); });
     }
     CHECK(statuses.size() == 10);
     for (const int status : statuses) CHECK(status == 503);
@@ -304,11 +306,11 @@
 
 TEST_CASE("the state of a message comes from its owner") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpRequest ask = world.request("/message/p4-id-1", "q");
     ask.method = "GET";
     SUBCASE("pending") {
-        const auto response = world.ask(ask);
+        const auto response = world.responseTo(ask);
         CHECK(response->status == 200);
         CHECK(response->body == R"({"phase":"pending"})");
         REQUIRE(world.stores[1]->queries.size() == 1);
@@ -317,13 +319,13 @@
     }
     SUBCASE("completed") {
         world.stores[1]->state_reply = {QueryStatus::found, Phase::completed, "3e1b.07", ""};
-        const auto response = world.ask(ask);
+        const auto response = world.responseTo(ask);
         CHECK(response->body == R"({"phase":"completed","stamp":"3e1b.07"})");
         CHECK(headerValue(response->headers, "Content-Type") == "application/json");
     }
     SUBCASE("dead letter") {
         world.stores[1]->state_reply = {QueryStatus::found, Phase::dead_letter, "", ""};
-        CHECK(world.ask(ask)->body == R"({"phase":"dead_letter"})");
+        CHECK(world.responseTo(ask)->body == R"({"phase":"dead_letter"})");
     }
     SUBCASE("unknown to its owner") {
         world.stores[1]->state_reply.status = QueryStatus::not_found;
@@ -331,19 +333,19 @@
     }
     SUBCASE("body") {
         ask.target = "/message-body/p4-id-1";
-        CHECK(world.ask(ask)->body == "body");
+        CHECK(world.responseTo(ask)->body == "body");
     }
 }
 
 TEST_CASE("a question waits for a new owner, and is given up before the asker leaves") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.stores[1]->state_reply.status = QueryStatus::not_owner;
     HttpRequest ask = world.request("/message/p4-id-1", "q");
     ask.method = "GET";
     SUBCASE("a newer view") {
         std::optional<HttpResponse> response;
-        world.edge->handleFront(ask, [&](HttpResponse given) { response = std::move(given); });
+        world.edge->handleClientRequest(ask, [&](HttpResponse given) { response = std::move(given); });
         world.world.run(Millis(350));
         CHECK_FALSE(response);
         world.edge->onView(world.viewWithout(2, 1));
@@ -360,7 +362,7 @@
 
 TEST_CASE("a bare id is asked for at every partition") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpRequest ask = world.request("/message/9c41d07b", "q");
     ask.method = "GET";
     for (auto& store : world.stores) store->state_reply.status = QueryStatus::not_found;
@@ -384,7 +386,7 @@
     world.edge->onView(world.view(1));
     world.edge->onConfiguration(edge_test::configuration());
     CHECK(status() == 503);
-    world.list(world.servers);
+    world.listServers(world.servers);
     CHECK(status() == 200);
     for (auto& store : world.stores) store->die();
     CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 503);
@@ -402,12 +404,12 @@
 
 TEST_CASE("the advised wait spreads a client's tries over its deadline") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
     const auto advised = [&](const std::string& deadline) {
         HttpHeaders more;
         if (!deadline.empty()) more.push_back({"Deadline-Ms", deadline});
-        const auto response = world.ask(world.request("/plain/x", "id", more));
+        const auto response = world.responseTo(world.request("/plain/x", "id", more));
         return std::string(headerValue(response->headers, "Retry-After"));
     };
     CHECK(advised("") == "0.100");
--- a/tests/cluster/edge_callback_test.cpp
+++ b/tests/cluster/edge_callback_test.cpp
@@ -31,8 +31,10 @@
 
 TEST_CASE("a success is called back with its stamp, after the owner was told") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("st\"1"); };
+    world.provideAll();
+    world.http.script = [](const HttpCall& call) {
+        return toReceiver(call) ? answer(200) : success("st\"1");
+    };
     world.push(0, {withCallback(world, "id-1")});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 2);
@@ -52,9 +54,9 @@
 
 TEST_CASE("a rejected message is called back as a dead letter; a failed one is the owner's to end") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     int status = 422;
-    world.http.play = [&](const HttpCall& call) { return toReceiver(call) ? answer(400) : answer(status); };
+    world.http.script = [&](const HttpCall& call) { return toReceiver(call) ? answer(400) : answer(status); };
     world.push(0, {withCallback(world, "id-1")});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 2);
@@ -69,16 +71,17 @@
 
 TEST_CASE("the owner hears of the end before it hears of the call-back") {
     EdgeWorld world;
-    world.feed();
-    world.stores[0]->takes_reports = false;
+    world.provideAll();
+    world.stores[0]->acknowledges_reports = false;
     world.push(0, {withCallback(world, "id-1")});
-    world.http.play = [](const HttpCall&) { return answer(200, {{"Response-Stamp", "s"}}); };
+    world.http.script = [](const HttpCall&) { return answer(200, {{"Response-Stamp", "s"}}); };
     world.world.run(Millis(1000));
     CHECK(world.http.sentTo(kReceiver) == 1);
-    for (const RunResult& result : world.stores[0]->refused) CHECK(result.outcome == RunOutcome::completed);
+    for (const RunResult& result : world.stores[0]->unacknowledged)
+        CHECK(result.outcome == RunOutcome::completed);
     REQUIRE_FALSE(world.stores[0]->syncs.back().running.empty());
     CHECK_FALSE(world.stores[0]->syncs.back().running[0].callback);
-    world.stores[0]->takes_reports = true;
+    world.stores[0]->acknowledges_reports = true;
     world.world.run(Millis(300));
     REQUIRE(world.stores[0]->results.size() == 2);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::completed);
@@ -88,8 +91,8 @@
 
 TEST_CASE("a granted call-back is delivered and not the message") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return answer(200); };
     CHECK(world.push(0, {callbackGrant(world, "id-1")}) == std::vector<bool>{true});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 1);
@@ -100,15 +103,15 @@
 
 TEST_CASE("a receiver that fails is asked again with growing pauses, then the owner decides") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     SUBCASE("it answers 503") {
-        world.http.play = [](const HttpCall&) { return answer(503); };
+        world.http.script = [](const HttpCall&) { return answer(503); };
     }
     SUBCASE("it is down") {
-        world.http.play = [](const HttpCall&) { return unreachable(); };
+        world.http.script = [](const HttpCall&) { return unreachable(); };
     }
     SUBCASE("it breaks off") {
-        world.http.play = [](const HttpCall&) { return brokenOff(); };
+        world.http.script = [](const HttpCall&) { return connectionLost(); };
     }
     world.push(0, {callbackGrant(world, "id-1")});
     world.world.run(Millis(7000));
@@ -124,8 +127,10 @@
 
 TEST_CASE("a receiver that is down holds up no other and is not stormed") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall& call) { return call.to == kReceiver ? unreachable() : answer(200); };
+    world.provideAll();
+    world.http.script = [](const HttpCall& call) {
+        return call.to == kReceiver ? unreachable() : answer(200);
+    };
     std::vector<Grant> grants;
     for (int i = 0; i < 50; ++i) {
         grants.push_back(callbackGrant(world, "down-" + std::to_string(i)));
@@ -136,28 +141,28 @@
     CHECK(world.stores[0]->results.size() == 50);
     CHECK(world.http.sentTo(kReceiver) <= 20);
     // It comes back: everything reaches it.
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.world.run(Millis(4000));
     CHECK(world.stores[0]->results.size() == 100);
 }
 
 TEST_CASE("a receiver that resets connections after they were made is not stormed either") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return brokenOff(); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return connectionLost(); };
     std::vector<Grant> grants;
     for (int i = 0; i < 50; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
     world.push(0, grants);
     world.world.run(Millis(1000));
     CHECK(world.http.sentTo(kReceiver) <= 20);
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.world.run(Millis(4000));
     CHECK(world.stores[0]->results.size() == 50);
 }
 
 TEST_CASE("a receiver gets few connections, fewer where there are many edges") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     std::size_t most = 8;
     SUBCASE("few edges") {}
     SUBCASE("many edges") {
@@ -166,18 +171,18 @@
     }
     std::vector<Grant> grants;
     for (int i = 0; i < 60; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.push(0, grants);
     world.world.run(Millis(2000));
-    CHECK(world.http.most_open == most);
+    CHECK(world.http.max_open == most);
     CHECK(world.stores[0]->results.size() == 60);
 }
 
 TEST_CASE("where not all edges may connect to a receiver, the owner is left to grant call-backs") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({200, 200, 0});
-    world.http.play = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("s"); };
+    world.http.script = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("s"); };
     world.push(0, {withCallback(world, "own")});
     world.world.run(Millis(300));
     CHECK(world.http.sentTo(kReceiver) == 0);
@@ -189,22 +194,22 @@
     world.push(0, grants);
     world.world.run(Millis(2000));
     CHECK(world.http.sentTo(kReceiver) == 60);
-    CHECK(world.http.most_open <= 4);
+    CHECK(world.http.max_open <= 4);
 }
 
 TEST_CASE("leaving: not ready, no new grants, what runs ends and is reported") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {withCallback(world, "id-1")});
     bool left = false;
     world.edge->leave([&] { left = true; });
-    CHECK_FALSE(world.edge->ready());
+    CHECK_FALSE(world.edge->isReady());
     world.world.run(Millis(20));
     for (const auto& store : world.stores) CHECK(store->syncs.back().leaving);
     CHECK(world.push(0, {world.grant("id-2")}) == std::vector<bool>{false});
     // A client on an open connection is still served, asked to go, and its message runs elsewhere.
-    const auto response = world.ask(world.request("/plain/x", "id-3"));
+    const auto response = world.responseTo(world.request("/plain/x", "id-3"));
     REQUIRE(response);
     CHECK(response->status == 202);
     CHECK(response->close);
@@ -221,9 +226,9 @@
 
 TEST_CASE("leaving: what has not begun goes back at once") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     Grant first = world.cappedGrant("id-1");
     Grant second = world.cappedGrant("id-2");
     world.push(0, {first, second});
@@ -236,8 +241,8 @@
 
 TEST_CASE("leaving: call-backs that wait go back, one on its way may still be taken") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (int i = 0; i < 10; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
     world.push(0, grants);
@@ -258,8 +263,8 @@
 
 TEST_CASE("leaving ends a second before the grace is over at the latest") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     bool left = false;
     world.edge->leave([&] { left = true; });
@@ -271,7 +276,7 @@
 
 TEST_CASE("leaving: clients that the platform still sends are served until it has noticed") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     bool left = false;
     world.edge->leave([&] { left = true; });
     world.world.run(Millis(2250));
@@ -283,9 +288,9 @@
 
 TEST_CASE("a new owner hears of the end again before it hears of the call-back") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     std::optional<HttpOutcome> receiver;
-    world.http.play = [&](const HttpCall& call) {
+    world.http.script = [&](const HttpCall& call) {
         return toReceiver(call) ? receiver : std::optional<HttpOutcome>(success("s"));
     };
     SUBCASE("the call-back is still on its way") {}
--- a/tests/cluster/edge_delivery_test.cpp
+++ b/tests/cluster/edge_delivery_test.cpp
@@ -19,7 +19,7 @@
 
 TEST_CASE("a message runs where it was accepted, exactly as it arrived, and its success is reported") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const HttpHeaders more = {{"Content-Type", "text/x"}, {"Order-Key", "cab-1"}};
     HttpRequest request = world.request("/ordered/x?a=b%20c", "id-1", more);
     request.method = "PUT";
@@ -52,7 +52,7 @@
 
 TEST_CASE("without a grant nothing runs") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.replyToAccepts({AcceptStatus::stored, false, 0, 0});
     CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 202);
     world.world.run(Millis(200));
@@ -61,7 +61,7 @@
 
 TEST_CASE("an attempt that may have run ends the grant, with its own word") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpOutcome outcome;
     RunOutcome expected = RunOutcome::unknown;
     SUBCASE("success") {
@@ -80,10 +80,10 @@
         outcome = answer(504);
     }
     SUBCASE("silence") {
-        outcome = silent();
+        outcome = timedOut();
     }
     SUBCASE("a broken connection") {
-        outcome = brokenOff();
+        outcome = connectionLost();
     }
     SUBCASE("busy, but not saying that it did not run") {
         outcome = answer(503);
@@ -91,7 +91,7 @@
     SUBCASE("it runs now") {
         outcome = notExecuted(409);
     }
-    world.http.play = [&](const HttpCall&) { return outcome; };
+    world.http.script = [&](const HttpCall&) { return outcome; };
     CHECK(world.push(0, {world.grant("id-1")}) == std::vector<bool>{true});
     world.world.run(Millis(5000));
     CHECK(world.http.sent.size() == 1);
@@ -102,7 +102,7 @@
 
 TEST_CASE("an attempt that surely did not run is followed by another server inside the grant") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpOutcome outcome;
     SUBCASE("full") {
         outcome = notExecuted(503);
@@ -117,7 +117,7 @@
         outcome = unreachable();
     }
     int tries = 0;
-    world.http.play = [&](const HttpCall&) { return tries++ == 0 ? outcome : success("s"); };
+    world.http.script = [&](const HttpCall&) { return tries++ == 0 ? outcome : success("s"); };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(1000));
     REQUIRE(world.http.sent.size() == 2);
@@ -141,8 +141,8 @@
         servers = 3, down = true;
     }
     EdgeWorld world(1, 3, servers);
-    world.feed();
-    world.http.play = [&](const HttpCall&) { return outcome; };
+    world.provideAll();
+    world.http.script = [&](const HttpCall&) { return outcome; };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(3000));
     CHECK(world.http.sent.size() == 3);
@@ -153,8 +153,8 @@
 
 TEST_CASE("a service with a ceiling gets one arrival for a grant") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return notExecuted(429); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return notExecuted(429); };
     Grant grant = world.cappedGrant("id-1");
     world.push(0, {grant});
     world.world.run(Millis(3000));
@@ -168,8 +168,8 @@
 
 TEST_CASE("an endpoint that is down is told as such") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return unreachable(); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return unreachable(); };
     Grant grant = world.cappedGrant("id-1");
     world.push(0, {grant});
     world.world.run(Millis(3000));
@@ -180,7 +180,7 @@
 
 TEST_CASE("connections to a server stay within this edge's share, and work waits for them") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({2, 2, 0});  // 4 connections for all: 1 for each of two edges
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 5; ++i) {
@@ -190,7 +190,7 @@
     world.push(0, grants);
     world.world.run(Millis(500));
     CHECK(world.http.sent.size() == 5);
-    CHECK(world.http.most_open == 1);
+    CHECK(world.http.max_open == 1);
     CHECK(world.stores[0]->results.size() == 5);
 }
 
@@ -199,7 +199,7 @@
     for (std::uint32_t rank = 0; rank < 20; ++rank) {
         CAPTURE(rank);
         EdgeWorld world;
-        world.feed();
+        world.provideAll();
         world.edge->setEdgeShare({20, 20, rank});
         world.push(0, {world.cappedGrant("id-1")});
         world.world.run(Millis(500));
@@ -210,9 +210,9 @@
 
 TEST_CASE("work that waits too long for a connection goes back") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     Grant first = world.cappedGrant("id-1");
     Grant second = world.cappedGrant("id-2");
     world.push(0, {first, second});
@@ -225,8 +225,8 @@
 
 TEST_CASE("with no server listed a grant goes back at once") {
     EdgeWorld world;
-    world.feed();
-    world.list({});
+    world.provideAll();
+    world.listServers({});
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.stores[0]->results.size() == 1);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
@@ -235,27 +235,27 @@
 
 TEST_CASE("a server that drains or is gone gets nothing from the moment that the list says so") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     for (std::uint64_t i = 0; i < 30; ++i) world.push(0, {world.grant("a" + std::to_string(i))});
     for (std::size_t i = 0; i < 3; ++i) CHECK(world.http.sentTo(serverAddress(i)) > 0);
     const std::size_t drained = world.http.sentTo(serverAddress(0));
     const std::size_t gone = world.http.sentTo(serverAddress(2));
-    world.list({server(0, true), server(1)});
+    world.listServers({server(0, true), server(1)});
     for (std::uint64_t i = 0; i < 30; ++i) world.push(0, {world.grant("b" + std::to_string(i))});
     CHECK(world.http.sentTo(serverAddress(0)) == drained);
     CHECK(world.http.sentTo(serverAddress(2)) == gone);
     CHECK(world.http.sent.size() == 60);
-    REQUIRE(world.http.forgotten.size() == 1);
-    CHECK(world.http.forgotten[0] == serverAddress(2));
+    REQUIRE(world.http.drained_addresses.size() == 1);
+    CHECK(world.http.drained_addresses[0] == serverAddress(2));
 }
 
 TEST_CASE("a further send inside a grant heeds the newest list") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.http.held() == 1);
-    world.list({server(0, true), server(1, true), server(2, true)});
+    world.listServers({server(0, true), server(1, true), server(2, true)});
     world.http.release(notExecuted(503));
     world.world.run(Millis(3000));
     CHECK(world.http.sent.size() == 1);
@@ -265,7 +265,7 @@
 
 TEST_CASE("work rotates over equal servers by the module's pick") {
     EdgeWorld world(1, 3, 4);
-    world.feed();
+    world.provideAll();
     for (std::uint64_t i = 0; i < 200; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     for (std::size_t i = 0; i < 4; ++i) {
         CHECK(world.http.sentTo(serverAddress(i)) > 40);
@@ -275,10 +275,10 @@
 
 TEST_CASE("a server that broke off comes back after a while") {
     EdgeWorld world(1, 3, 2);
-    world.feed();
+    world.provideAll();
     bool sick = true;
-    world.http.play = [&](const HttpCall& call) {
-        return sick && call.to == serverAddress(0) ? brokenOff() : success("s");
+    world.http.script = [&](const HttpCall& call) {
+        return sick && call.to == serverAddress(0) ? connectionLost() : success("s");
     };
     for (std::uint64_t i = 0; i < 40; ++i) world.push(0, {world.grant("a" + std::to_string(i))});
     CHECK(world.http.sentTo(serverAddress(0)) <= 4);
@@ -290,10 +290,10 @@
 
 TEST_CASE("slower servers get less") {
     EdgeWorld world(1, 3, 2);
-    world.feed();
+    world.provideAll();
     std::map<NodeAddress, Millis> work = {{serverAddress(0), Millis(20)}, {serverAddress(1), Millis(80)}};
-    world.http.play = [&](const HttpCall& call) {
-        world.http.work = work[call.to];
+    world.http.script = [&](const HttpCall& call) {
+        world.http.response_delay = work[call.to];
         return success("s");
     };
     for (std::uint64_t i = 0; i < 600; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
@@ -302,8 +302,8 @@
 
 TEST_CASE("a repeated grant is taken and not begun twice; another attempt of the message is refused") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     CHECK(world.push(0, {world.grant("id-1", 0, 1)}) == std::vector<bool>{true});
     CHECK(world.push(0, {world.grant("id-1", 0, 1)}) == std::vector<bool>{true});
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}) == std::vector<bool>{false});
@@ -316,8 +316,8 @@
 
 TEST_CASE("an attempt whose report was not taken yet counts as running") {
     EdgeWorld world;
-    world.feed();
-    world.stores[0]->takes_reports = false;
+    world.provideAll();
+    world.stores[0]->acknowledges_reports = false;
     world.push(0, {world.grant("id-1", 0, 1)});
     world.world.run(Millis(50));
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}) == std::vector<bool>{false});
@@ -330,7 +330,7 @@
 
 TEST_CASE("grants of a store that lost the partition are refused") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->onView(world.viewWithout(2, 0));
     CHECK(world.push(0, {world.grant("id-1")}) == std::vector<bool>{false});
     CHECK(world.push(1, {world.grant("id-2")}) == std::vector<bool>{true});
@@ -341,7 +341,7 @@
 
 TEST_CASE("grants that were meant for the process before this one are not begun") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const Incarnation own = 7;
     CHECK(world.push(0, {world.grant("id-1")}, own - 1) == std::vector<bool>{false});
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}, own + 1) == std::vector<bool>{false});
@@ -355,8 +355,8 @@
 
 TEST_CASE("grants over the bound are refused") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 310; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
     const std::vector<bool> taken = world.push(0, grants);
@@ -369,7 +369,7 @@
 
 TEST_CASE("a route that a newer configuration dropped is not run any more") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     auto without = std::make_shared<Configuration>(*edge_test::configuration());
     without->generation = 2;
     std::erase_if(without->routes, [](const Route& route) { return route.name == "plain"; });
@@ -389,14 +389,14 @@
 
 TEST_CASE("the module is built anew for another number of edges without losing work") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     for (std::uint64_t i = 0; i < 3; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     world.edge->setEdgeShare({8, 8, 0});
     world.http.release(notExecuted(503));  // of the module that is gone: back to the owner
     world.http.release(success("s"));
     world.http.release(success("s"));
-    world.http.play = [](const HttpCall&) { return success("s"); };
+    world.http.script = [](const HttpCall&) { return success("s"); };
     world.push(0, {world.grant("after")});
     world.world.run(Millis(200));
     CHECK(world.stores[0]->results.size() == 4);
@@ -408,7 +408,7 @@
 
 TEST_CASE("a fall of the number of edges counts only once it has lasted") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({8, 8, 0});
     world.edge->setEdgeShare({1, 1, 0});
     world.world.run(Millis(9000));
@@ -420,12 +420,12 @@
 
 TEST_CASE("a grant with an accept that this edge can't run goes back at once") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 300; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
     world.push(0, grants);
-    world.stores[0]->grants_unasked = true;
+    world.stores[0]->grants_unrequested = true;
     CHECK(world.statusOf(world.request("/plain/x", "more")) == 202);
     world.world.run(Millis(50));
     REQUIRE(world.stores[0]->results.size() == 1);
--- a/tests/cluster/edge_query_test.cpp
+++ b/tests/cluster/edge_query_test.cpp
@@ -11,99 +11,101 @@
 #include "tests/cluster/edge_world.hpp"
 
 using namespace amberswitch::cluster;
-using edge_store::Play;
-using edge_store::Seen;
+using edge_store::EdgeStoreFixture;
+using edge_store::ObservedMessage;
 using edge_test::EdgeWorld;
 
 namespace {
 
-constexpr Millis kAnswerWithin{2000};
-constexpr Millis kKnownAfter{2000};
+constexpr Millis kMaxAnswerTime{2000};
+constexpr Millis kQueryMinAge{2000};
 
 // The status of a question to the one edge, which must come in time.
-int askedInTime(EdgeWorld& world, const std::string& target) {
+int queryInTime(EdgeWorld& world, const std::string& target) {
     HttpRequest ask = world.request(target, "q");
     ask.method = "GET";
     const SteadyTime start = world.world.now();
     const int status = world.statusOf(ask);
-    CHECK(world.world.now() - start <= kAnswerWithin);
+    CHECK(world.world.now() - start <= kMaxAnswerTime);
     return status;
 }
 
 // Asks for the state and the bytes of messages that were accepted a while ago, and notes wrong answers.
-class Asker {
+class QueryClient {
 public:
-    explicit Asker(Play& play) : play_(play) {}
+    explicit QueryClient(EdgeStoreFixture& fixture) : fixture_(fixture) {}
 
-    void askSome(int questions) {
-        std::vector<std::string> known;
-        for (const auto& [id, message] : play_.seen) {
-            const bool is_old = message.status == 202 && play_.world().now() - message.answered > kKnownAfter;
-            if (is_old) known.push_back(id);
+    void queryRandomMessages(int queries) {
+        std::vector<std::string> candidates;
+        for (const auto& [id, message] : fixture_.messages) {
+            const bool is_old =
+                message.status == 202 && fixture_.world().now() - message.answered > kQueryMinAge;
+            if (is_old) candidates.push_back(id);
         }
-        for (int question = 0; question < questions && !known.empty(); ++question) {
-            const std::string& id = known[play_.world().random()() % known.size()];
-            ask(id, question % 2 == 0);
+        for (int query = 0; query < queries && !candidates.empty(); ++query) {
+            const std::string& id = candidates[fixture_.world().random()() % candidates.size()];
+            ask(id, query % 2 == 0);
         }
     }
     int asked() const { return asked_; }
     int answered() const { return answered_; }
-    int unsure() const { return unsure_; }
+    int unavailable() const { return unavailable_; }
 
 private:
     void ask(const std::string& id, bool state) {
-        const std::size_t edge = play_.world().random()() % play_.edges.size();
-        if (!play_.edges[edge].node) return;
+        const std::size_t edge = fixture_.world().random()() % fixture_.edges.size();
+        if (!fixture_.edges[edge].node) return;
         ++asked_;
         HttpRequest request;
         request.method = "GET";
-        request.target = (state ? "/message/" : "/message-body/") + play_.seen.at(id).ref;
+        request.target = (state ? "/message/" : "/message-body/") + fixture_.messages.at(id).ref;
         request.headers = {{"Host", "host.example"}};
-        const SteadyTime start = play_.world().now();
-        play_.edges[edge].node->handleFront(request, [this, id, state, start](const HttpResponse& response) {
-            judge(id, state, start, response);
-        });
+        const SteadyTime start = fixture_.world().now();
+        fixture_.edges[edge].node->handleClientRequest(
+            request, [this, id, state, start](const HttpResponse& response) {
+                checkResponse(id, state, start, response);
+            });
     }
-    void judge(const std::string& id, bool state, SteadyTime start, const HttpResponse& response) {
+    void checkResponse(const std::string& id, bool state, SteadyTime start, const HttpResponse& response) {
         ++answered_;
-        const Seen& message = play_.seen.at(id);
-        if (play_.world().now() - start > kAnswerWithin) play_.faults.push_back("late: " + id);
-        if (response.status == 503) ++unsure_;
+        const ObservedMessage& message = fixture_.messages.at(id);
+        if (fixture_.world().now() - start > kMaxAnswerTime) fixture_.violations.push_back("late: " + id);
+        if (response.status == 503) ++unavailable_;
         const bool exists = state || !message.ended;
-        if (response.status == 404 && exists) play_.faults.push_back("lost: 404 for " + id);
+        if (response.status == 404 && exists) fixture_.violations.push_back("lost: 404 for " + id);
         const bool has_bytes = !state && response.status == 200;
         if (has_bytes && response.body != "body of " + id)
-            play_.faults.push_back("mixed: the bytes of " + id);
+            fixture_.violations.push_back("mixed: the bytes of " + id);
     }
 
-    Play& play_;
+    EdgeStoreFixture& fixture_;
     int asked_ = 0;
     int answered_ = 0;
-    int unsure_ = 0;
+    int unavailable_ = 0;
 };
 
 const std::string kOddKey = "k \xff\x80\xc3\xa9;,=%00\"'";
 
-void trafficWithQuestions(Play& play, Asker& asker, int messages) {
+void runTrafficWithQueries(EdgeStoreFixture& fixture, QueryClient& client, int messages) {
     for (int i = 0; i < messages; ++i) {
-        const double kind = play.world().chance();
+        const double kind = fixture.world().chance();
         if (kind < 0.3) {
-            play.submit("lines", kind < 0.1 ? kOddKey : "k" + std::to_string(i % 5));
+            fixture.submit("lines", kind < 0.1 ? kOddKey : "k" + std::to_string(i % 5));
         } else {
-            play.submit("plain", {}, false, kind < 0.6 ? 6000 : 0);
+            fixture.submit("plain", {}, false, kind < 0.6 ? 6000 : 0);
         }
-        play.world().run(Millis(static_cast<std::int64_t>(play.world().chance() * 24)));
-        if (i % 10 == 0) asker.askSome(6);
+        fixture.world().run(Millis(static_cast<std::int64_t>(fixture.world().chance() * 24)));
+        if (i % 10 == 0) client.queryRandomMessages(6);
     }
 }
 
-void checkAnswers(Play& play, const Asker& asker) {
-    play.world().run(Millis(25'000));
-    play.check();
-    CHECK(asker.asked() > 100);
-    CHECK(asker.answered() > asker.asked() * 9 / 10);  // a killed edge answers nothing
-    CHECK(asker.unsure() < asker.asked());
-    CHECK_MESSAGE(play.faults.empty(), play.faultText());
+void checkAnswers(EdgeStoreFixture& fixture, const QueryClient& client) {
+    fixture.world().run(Millis(25'000));
+    fixture.check();
+    CHECK(client.asked() > 100);
+    CHECK(client.answered() > client.asked() * 9 / 10);  // a killed edge answers nothing
+    CHECK(client.unavailable() < client.asked());
+    CHECK_MESSAGE(fixture.violations.empty(), fixture.violationText());
 }
 
 }  // namespace
@@ -111,7 +113,7 @@
 TEST_CASE("a dispatcher that can't be sure says 503 within two seconds") {
     struct Situation {
         std::string name;
-        std::function<void(EdgeWorld&)> bringAbout;
+        std::function<void(EdgeWorld&)> setUp;
         int expected = 503;
     };
     const std::vector<Situation> situations{
@@ -124,28 +126,28 @@
          }},
         {"a dead owner",
          [](EdgeWorld& world) {
-             world.feed();
+             world.provideAll();
              world.stores[1]->die();
          }},
         {"a silent owner",
          [](EdgeWorld& world) {
-             world.feed();
+             world.provideAll();
              world.network.isolate(world.stores[1]->address().ip);
          }},
         {"an owner that is not ready",
          [](EdgeWorld& world) {
-             world.feed();
+             world.provideAll();
              world.stores[1]->state_reply.status = QueryStatus::not_owner;
          }},
-        {"owners that know of none", [](EdgeWorld& world) { world.feed(); }, 404},
+        {"owners that know of none", [](EdgeWorld& world) { world.provideAll(); }, 404},
     };
     for (const Situation& situation : situations) {
         for (const std::string target : {"/message/p4-id-1", "/message-body/p4-id-1", "/message/bare-id"}) {
             INFO(situation.name << " " << target);
             EdgeWorld world;
             for (auto& store : world.stores) store->state_reply.status = QueryStatus::not_found;
-            situation.bringAbout(world);
-            CHECK(askedInTime(world, target) == situation.expected);
+            situation.setUp(world);
+            CHECK(queryInTime(world, target) == situation.expected);
         }
     }
 }
@@ -155,10 +157,10 @@
     HttpRequest ask = world.request("/message/p4-id-1", "q");
     ask.method = "GET";
     int state = 0;
-    world.edge->handleFront(ask, [&](const HttpResponse& response) { state = response.status; });
+    world.edge->handleClientRequest(ask, [&](const HttpResponse& response) { state = response.status; });
     world.world.run(Millis(900));
     CHECK(state == 0);
-    world.feed();
+    world.provideAll();
     world.world.run(Millis(200));
     CHECK(state == 200);
     const auto readiness = [&] {
@@ -170,44 +172,44 @@
     CHECK(readiness() == 200);
     world.edge->leave([] {});
     CHECK(readiness() == 503);
-    CHECK(askedInTime(world, "/message/p4-id-1") == 200);  // on connections that are open
+    CHECK(queryInTime(world, "/message/p4-id-1") == 200);  // on connections that are open
     CHECK(readiness() == 503);
 }
 
 TEST_CASE("no accepted message is unknown while stores die, come back and leave; keys are the senders'") {
-    int unsure = 0;
+    int unavailable = 0;
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
-        Play play(seed, 3);
-        Asker asker(play);
-        trafficWithQuestions(play, asker, 250);
-        auto& victim = *play.stores.machines[seed % 3];
-        play.stores.stop(victim);
-        trafficWithQuestions(play, asker, 80);  // nobody has noticed yet
-        play.changeView();
-        trafficWithQuestions(play, asker, 150);
-        play.stores.start(victim);
-        play.changeView();
-        trafficWithQuestions(play, asker, 150);
-        play.killEdge(seed % 3);
-        trafficWithQuestions(play, asker, 50);
-        play.startEdge(seed % 3);
-        trafficWithQuestions(play, asker, 100);
-        unsure += asker.unsure();
-        checkAnswers(play, asker);
+        EdgeStoreFixture fixture(seed, 3);
+        QueryClient client(fixture);
+        runTrafficWithQueries(fixture, client, 250);
+        auto& victim = *fixture.stores.machines[seed % 3];
+        fixture.stores.stop(victim);
+        runTrafficWithQueries(fixture, client, 80);  // nobody has noticed yet
+        fixture.changeView();
+        runTrafficWithQueries(fixture, client, 150);
+        fixture.stores.start(victim);
+        fixture.changeView();
+        runTrafficWithQueries(fixture, client, 150);
+        fixture.killEdge(seed % 3);
+        runTrafficWithQueries(fixture, client, 50);
+        fixture.startEdge(seed % 3);
+        runTrafficWithQueries(fixture, client, 100);
+        unavailable += client.unavailable();
+        checkAnswers(fixture, client);
     }
-    MESSAGE("answers of 503: " << unsure);
+    MESSAGE("answers of 503: " << unavailable);
 }
 
 TEST_CASE("no accepted message is unknown on a lossy network") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         INFO("seed " << seed);
-        Play play(seed, 3);
-        play.stores.network.loss = 0.02;
-        Asker asker(play);
-        trafficWithQuestions(play, asker, 500);
-        play.stores.network.loss = 0;
-        checkAnswers(play, asker);
+        EdgeStoreFixture fixture(seed, 3);
+        fixture.stores.network.loss = 0.02;
+        QueryClient client(fixture);
+        runTrafficWithQueries(fixture, client, 500);
+        fixture.stores.network.loss = 0;
+        checkAnswers(fixture, client);
     }
 }
 
@@ -215,30 +217,30 @@
     int runs_over_budget = 0;
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
-        Play play(seed, 3);
-        Asker asker(play);
-        play.servers.failures = 0.6;
-        play.servers.rejections = 0.2;
-        trafficWithQuestions(play, asker, 200);
-        CHECK(play.runs_over_budget == 0);
-        auto& victim = *play.stores.machines[seed % 3];
-        play.stores.stop(victim);
-        trafficWithQuestions(play, asker, 60);
-        play.changeView();
-        trafficWithQuestions(play, asker, 150);
-        play.stores.start(victim);
-        play.changeView();
-        trafficWithQuestions(play, asker, 150);
-        checkAnswers(play, asker);  // the rule's own bounds, for each message
-        CHECK(play.runs_over_budget <= 8);
-        runs_over_budget += play.runs_over_budget;
+        EdgeStoreFixture fixture(seed, 3);
+        QueryClient client(fixture);
+        fixture.servers.failure_rate = 0.6;
+        fixture.servers.rejection_rate = 0.2;
+        runTrafficWithQueries(fixture, client, 200);
+        CHECK(fixture.runs_over_budget == 0);
+        auto& victim = *fixture.stores.machines[seed % 3];
+        fixture.stores.stop(victim);
+        runTrafficWithQueries(fixture, client, 60);
+        fixture.changeView();
+        runTrafficWithQueries(fixture, client, 150);
+        fixture.stores.start(victim);
+        fixture.changeView();
+        runTrafficWithQueries(fixture, client, 150);
+        checkAnswers(fixture, client);  // the rule's own bounds, for each message
+        CHECK(fixture.runs_over_budget <= 8);
+        runs_over_budget += fixture.runs_over_budget;
     }
     CHECK(runs_over_budget <= 20);  // of counts that died with their owner; about one a play
 }
 
 TEST_CASE("a read of the configuration is answered as such, unless a route takes its path") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     int reads = 0;
     world.edge->onConfigurationRead([&reads](const HttpResponder& respond) {
         ++reads;
@@ -263,8 +265,8 @@
         world.edge->onConfiguration(changed);
         HttpRequest message = world.request("/Config.Read", "m-1");
         message.method = "GET";
-        world.ask(message);
-        CHECK(world.acceptsAsked() > 0);
+        world.responseTo(message);
+        CHECK(world.acceptRequestCount() > 0);
     }
     CHECK(reads == 1);
 }
--- a/tests/cluster/edge_report_test.cpp
+++ b/tests/cluster/edge_report_test.cpp
@@ -19,9 +19,9 @@
 
 TEST_CASE("a result is told again until the owner by the newest view has taken it") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     SUBCASE("the owner does not take it") {
-        world.stores[0]->takes_reports = false;
+        world.stores[0]->acknowledges_reports = false;
     }
     SUBCASE("the owner is dead") {
         world.stores[0]->die();
@@ -45,8 +45,8 @@
 
 TEST_CASE("reports are batched while a call is open") {
     EdgeWorld world;
-    world.feed();
-    world.http.work = Millis(1);
+    world.provideAll();
+    world.http.response_delay = Millis(1);
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 50; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
     world.push(0, grants);
@@ -57,7 +57,7 @@
 
 TEST_CASE("results survive a lossy network") {
     EdgeWorld world(7);
-    world.feed();
+    world.provideAll();
     world.network.loss = 0.3;
     std::size_t taken = 0;
     for (std::uint64_t i = 0; i < 40; ++i) {
@@ -80,8 +80,8 @@
 
 TEST_CASE("every live store hears what runs: with each view, and every second") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(2500));
     for (const auto& store : world.stores) {
@@ -101,9 +101,9 @@
 
 TEST_CASE("a new owner hears again of ends that the dead one may have kept to itself") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     int status = 200;
-    world.http.play = [&](const HttpCall&) { return status == 200 ? success("s") : answer(status); };
+    world.http.script = [&](const HttpCall&) { return status == 200 ? success("s") : answer(status); };
     world.push(0, {world.grant("done", 0)});
     status = 500;
     world.push(0, {world.grant("failed", 3)});
@@ -114,14 +114,14 @@
     const std::size_t of_next = world.stores[1]->results.size();
     // The successor is not ready at first: until then the end counts as running, so that nobody runs it
     // again.
-    world.stores[1]->takes_reports = false;
+    world.stores[1]->acknowledges_reports = false;
     world.edge->onView(world.viewWithout(2, 0));
     world.world.run(Millis(50));
     REQUIRE(world.stores[1]->syncs.back().view_epoch == 2);
     REQUIRE(world.stores[1]->syncs.back().running.size() == 1);
     CHECK(world.stores[1]->syncs.back().running[0].id == "done");
     CHECK(world.stores[1]->syncs.back().running[0].attempt == 1);
-    world.stores[1]->takes_reports = true;
+    world.stores[1]->acknowledges_reports = true;
     world.world.run(Millis(500));
     // The failure is not told again: it might be counted twice.
     REQUIRE(world.stores[1]->results.size() == of_next + 1);
--- a/tests/cluster/edge_store_pending_test.cpp
+++ b/tests/cluster/edge_store_pending_test.cpp
@@ -15,34 +15,34 @@
 
 namespace {
 
-constexpr Millis kSteady{6000};
+constexpr Millis kSettleTime{6000};
 // After its end a call-back is taken within this time of steady state.
 constexpr Millis kCallbackWithin{10'000};
 constexpr std::uint64_t kRetriesAllowed = 3;
 
-std::uint64_t seedsOfPlay() {
+std::uint64_t seedCount() {
     const char* const chosen = std::getenv("AMBERSWITCH_STORE_SEEDS");
     return chosen == nullptr ? 30 : std::strtoull(chosen, nullptr, 10);
 }
 
-Millis drawSpan(Play& play, Millis most) {
-    return Millis(static_cast<std::int64_t>(play.world().chance() * static_cast<double>(most.count())));
+Millis randomSpan(EdgeStoreFixture& fixture, Millis most) {
+    return Millis(static_cast<std::int64_t>(fixture.world().chance() * static_cast<double>(most.count())));
 }
 
-void submitOne(Play& play) {
-    const double kind = play.world().chance();
-    const std::string key = "k" + std::to_string(static_cast<int>(play.world().chance() * 8));
-    if (kind < 0.4) return play.submit("lines", key);
-    if (kind < 0.5) return play.submit("limited");
-    const auto delay_ms = kind < 0.65 ? static_cast<std::int64_t>(play.world().chance() * 5000) : 0;
-    play.submit("plain", {}, kind > 0.75, delay_ms);
+void submitOne(EdgeStoreFixture& fixture) {
+    const double kind = fixture.world().chance();
+    const std::string key = "k" + std::to_string(static_cast<int>(fixture.world().chance() * 8));
+    if (kind < 0.4) return fixture.submit("lines", key);
+    if (kind < 0.5) return fixture.submit("limited");
+    const auto delay_ms = kind < 0.65 ? static_cast<std::int64_t>(fixture.world().chance() * 5000) : 0;
+    fixture.submit("plain", {}, kind > 0.75, delay_ms);
 }
 
-void trafficFor(Play& play, Millis span) {
-    const SteadyTime end = play.world().now() + span;
-    while (play.world().now() < end) {
-        submitOne(play);
-        play.world().run(Millis(1) + drawSpan(play, Millis(60)));
+void trafficFor(EdgeStoreFixture& fixture, Millis span) {
+    const SteadyTime end = fixture.world().now() + span;
+    while (fixture.world().now() < end) {
+        submitOne(fixture);
+        fixture.world().run(Millis(1) + randomSpan(fixture, Millis(60)));
     }
 }
 
@@ -50,188 +50,190 @@
     return "10.5.0." + std::to_string(index + 1);
 }
 
-enum class Trouble {
+enum class Fault {
     edge_killed,
     edge_cut,
-    edge_unheard,
-    edge_deaf,
+    edge_outbound_cut,
+    edge_inbound_cut,
     store_killed,
-    store_power,
+    store_power_loss,
     store_wiped,
     store_cut,
     store_frozen,
-    all_power,
+    full_power_loss,
     loss,
     receiver_down,
     count,
 };
 
 // One trouble, its being noticed, and its end.
-class Struck {
+class InjectedFault {
 public:
-    Struck(Play& play, Trouble trouble)
-        : play_(play),
-          trouble_(trouble),
-          edge_(play.world().random()() % play.edges.size()),
-          store_(*play.stores.machines[play.world().random()() % play.stores.machines.size()]) {}
+    InjectedFault(EdgeStoreFixture& fixture, Fault fault)
+        : fixture_(fixture),
+          fault_(fault),
+          edge_(fixture.world().random()() % fixture.edges.size()),
+          store_(*fixture.stores.machines[fixture.world().random()() % fixture.stores.machines.size()]) {}
 
     void begin(Millis span) {
-        Network& network = play_.stores.network;
+        Network& network = fixture_.stores.network;
         const std::string& store_ip = store_.address.ip;
-        switch (trouble_) {
-            case Trouble::edge_killed:
-                return play_.killEdge(edge_);
-            case Trouble::edge_cut:
+        switch (fault_) {
+            case Fault::edge_killed:
+                return fixture_.killEdge(edge_);
+            case Fault::edge_cut:
                 return network.isolate(ipOfEdge(edge_));
-            case Trouble::edge_unheard:
-                for (auto& machine : play_.stores.machines) network.cut(ipOfEdge(edge_), machine->address.ip);
+            case Fault::edge_outbound_cut:
+                for (auto& machine : fixture_.stores.machines)
+                    network.cut(ipOfEdge(edge_), machine->address.ip);
                 return;
-            case Trouble::edge_deaf:
-                for (auto& machine : play_.stores.machines) network.cut(machine->address.ip, ipOfEdge(edge_));
+            case Fault::edge_inbound_cut:
+                for (auto& machine : fixture_.stores.machines)
+                    network.cut(machine->address.ip, ipOfEdge(edge_));
                 return;
-            case Trouble::store_killed:
-                return play_.stores.stop(store_);
-            case Trouble::store_power:
-                return play_.stores.cutPower(store_);
-            case Trouble::store_wiped:
-                return play_.stores.wipe(store_);
-            case Trouble::store_cut:
-                play_.stores.hidden.insert(store_.name);
+            case Fault::store_killed:
+                return fixture_.stores.stop(store_);
+            case Fault::store_power_loss:
+                return fixture_.stores.cutPower(store_);
+            case Fault::store_wiped:
+                return fixture_.stores.wipe(store_);
+            case Fault::store_cut:
+                fixture_.stores.hidden.insert(store_.name);
                 return network.isolate(store_ip);
-            case Trouble::store_frozen:
-                play_.stores.hidden.insert(store_.name);
-                store_.process->scheduler->freeze(play_.world().now() + span);
-                return store_.process->transport->freeze(play_.world().now() + span);
-            case Trouble::all_power:
-                for (auto& machine : play_.stores.machines) play_.stores.cutPower(*machine);
-                for (std::size_t i = 0; i < play_.edges.size(); ++i) play_.killEdge(i);
+            case Fault::store_frozen:
+                fixture_.stores.hidden.insert(store_.name);
+                store_.process->scheduler->freeze(fixture_.world().now() + span);
+                return store_.process->transport->freeze(fixture_.world().now() + span);
+            case Fault::full_power_loss:
+                for (auto& machine : fixture_.stores.machines) fixture_.stores.cutPower(*machine);
+                for (std::size_t i = 0; i < fixture_.edges.size(); ++i) fixture_.killEdge(i);
                 return;
-            case Trouble::loss:
+            case Fault::loss:
                 network.loss = 0.05;
                 return;
-            case Trouble::receiver_down:
-                play_.servers.receiver_down = true;
+            case Fault::receiver_down:
+                fixture_.servers.receiver_down = true;
                 return;
-            case Trouble::count:
+            case Fault::count:
                 return;
         }
     }
     void end() {
-        play_.stores.network.healAll();
-        play_.stores.network.loss = 0;
-        play_.stores.hidden.clear();
-        play_.servers.receiver_down = false;
-        for (auto& machine : play_.stores.machines) {
-            if (!machine->process) play_.stores.start(*machine);
+        fixture_.stores.network.healAll();
+        fixture_.stores.network.loss = 0;
+        fixture_.stores.hidden.clear();
+        fixture_.servers.receiver_down = false;
+        for (auto& machine : fixture_.stores.machines) {
+            if (!machine->process) fixture_.stores.start(*machine);
         }
-        play_.changeView();
-        for (std::size_t i = 0; i < play_.edges.size(); ++i) {
-            if (!play_.edges[i].node) play_.startEdge(i);
+        fixture_.changeView();
+        for (std::size_t i = 0; i < fixture_.edges.size(); ++i) {
+            if (!fixture_.edges[i].node) fixture_.startEdge(i);
         }
     }
 
 private:
-    Play& play_;
-    Trouble trouble_;
+    EdgeStoreFixture& fixture_;
+    Fault fault_;
     std::size_t edge_;
     StoreMachine& store_;
 };
 
 // The messages, and the orders of messages, that were at a server since then.
-std::set<std::string> movedSince(const Play& play, SteadyTime since) {
-    std::set<std::string> moved;
-    for (const auto& [id, message] : play.seen) {
+std::set<std::string> activeSince(const EdgeStoreFixture& fixture, SteadyTime since) {
+    std::set<std::string> active;
+    for (const auto& [id, message] : fixture.messages) {
         if (!message.last_run || *message.last_run <= since) continue;
-        moved.insert(id);
-        if (!message.order_key.empty()) moved.insert(message.order_key);
+        active.insert(id);
+        if (!message.order_key.empty()) active.insert(message.order_key);
     }
-    return moved;
+    return active;
 }
 
-void checkNothingStuck(const Play& play, std::uint64_t seed, int trouble, SteadyTime healed) {
-    const std::set<std::string> moved = movedSince(play, healed);
+void checkNothingStuck(const EdgeStoreFixture& fixture, std::uint64_t seed, int fault, SteadyTime healed) {
+    const std::set<std::string> active = activeSince(fixture, healed);
     std::string stuck;
-    for (const auto& [id, message] : play.seen) {
+    for (const auto& [id, message] : fixture.messages) {
         const bool owed = message.status == 202 && message.sent + Millis(message.delay_ms) < healed;
-        if (!owed || message.ended || moved.contains(id) || moved.contains(message.order_key)) continue;
+        if (!owed || message.ended || active.contains(id) || active.contains(message.order_key)) continue;
         stuck += id + " of " + message.route + " " + message.order_key + "\n";
     }
-    INFO("seed " << seed << " trouble " << trouble);
+    INFO("seed " << seed << " trouble " << fault);
     CHECK_MESSAGE(stuck.empty(), stuck);
 }
 
-void checkCallbacks(const Play& play, std::uint64_t seed, int trouble, SteadyTime before) {
+void checkCallbacks(const EdgeStoreFixture& fixture, std::uint64_t seed, int fault, SteadyTime before) {
     std::string missing;
-    for (const auto& [id, message] : play.seen) {
+    for (const auto& [id, message] : fixture.messages) {
         const bool done = message.status == 202 && message.ended && *message.ended < before;
-        if (done && message.wants_callback && message.callbacks_taken == 0) missing += id + "\n";
+        if (done && message.wants_callback && message.callbacks_delivered == 0) missing += id + "\n";
     }
-    INFO("seed " << seed << " trouble " << trouble);
+    INFO("seed " << seed << " trouble " << fault);
     CHECK_MESSAGE(missing.empty(), missing);
 }
 
-void playTroubles(std::uint64_t seed, Trouble first, int rounds) {
-    Play play(seed, 3);
-    play.servers.failures = 0.03;
-    play.servers.lost_answers = 0.02;
-    trafficFor(play, Millis(1500));
-    Trouble trouble = first;
+void runFaults(std::uint64_t seed, Fault first_fault, int rounds) {
+    EdgeStoreFixture fixture(seed, 3);
+    fixture.servers.failure_rate = 0.03;
+    fixture.servers.lost_answer_rate = 0.02;
+    trafficFor(fixture, Millis(1500));
+    Fault fault = first_fault;
     for (int round = 0; round < rounds; ++round) {
-        Struck struck(play, trouble);
-        const Millis span = seed % 3 == 0 ? Millis(20'000) : Millis(300) + drawSpan(play, Millis(4000));
-        struck.begin(span);
-        const Millis noticed = std::min(span, Millis(1000) + drawSpan(play, Millis(300)));
-        trafficFor(play, noticed);
-        play.changeView();
-        if (span > noticed) trafficFor(play, span - noticed);
-        struck.end();
-        const auto kinds = static_cast<std::uint64_t>(Trouble::count);
-        trouble = static_cast<Trouble>(play.world().random()() % kinds);
+        InjectedFault injected(fixture, fault);
+        const Millis span = seed % 3 == 0 ? Millis(20'000) : Millis(300) + randomSpan(fixture, Millis(4000));
+        injected.begin(span);
+        const Millis detection_delay = std::min(span, Millis(1000) + randomSpan(fixture, Millis(300)));
+        trafficFor(fixture, detection_delay);
+        fixture.changeView();
+        if (span > detection_delay) trafficFor(fixture, span - detection_delay);
+        injected.end();
+        const auto kinds = static_cast<std::uint64_t>(Fault::count);
+        fault = static_cast<Fault>(fixture.world().random()() % kinds);
     }
-    const SteadyTime healed = play.world().now();
-    play.world().run(kSteady);
-    checkNothingStuck(play, seed, static_cast<int>(first), healed);
-    play.world().run(kCallbackWithin - kSteady);
-    checkCallbacks(play, seed, static_cast<int>(first), healed);
-    play.world().run(Millis(15'000));
-    play.check();
-    INFO("seed " << seed << " trouble " << static_cast<int>(first));
-    CHECK_MESSAGE(play.faults.empty(), play.faultText());
+    const SteadyTime healed = fixture.world().now();
+    fixture.world().run(kSettleTime);
+    checkNothingStuck(fixture, seed, static_cast<int>(first_fault), healed);
+    fixture.world().run(kCallbackWithin - kSettleTime);
+    checkCallbacks(fixture, seed, static_cast<int>(first_fault), healed);
+    fixture.world().run(Millis(15'000));
+    fixture.check();
+    INFO("seed " << seed << " trouble " << static_cast<int>(first_fault));
+    CHECK_MESSAGE(fixture.violations.empty(), fixture.violationText());
 }
 
 }  // namespace
 
 TEST_CASE("after one trouble nothing is stuck") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        const auto kinds = static_cast<std::uint64_t>(Trouble::count);
-        playTroubles(seed, static_cast<Trouble>(seed % kinds), 1);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        const auto kinds = static_cast<std::uint64_t>(Fault::count);
+        runFaults(seed, static_cast<Fault>(seed % kinds), 1);
     }
 }
 
 TEST_CASE("after two troubles in a row nothing is stuck") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        const auto kinds = static_cast<std::uint64_t>(Trouble::count);
-        playTroubles(1000 + seed, static_cast<Trouble>(seed % kinds), 2);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        const auto kinds = static_cast<std::uint64_t>(Fault::count);
+        runFaults(1000 + seed, static_cast<Fault>(seed % kinds), 2);
     }
 }
 
 TEST_CASE("a message that always fails reaches a server no more than three times its retries") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        Play play(seed, 3);
-        play.servers.failures = 1;
-        for (int i = 0; i < 10; ++i) play.submit(i % 2 == 0 ? "plain" : "lines", i % 2 == 0 ? "" : "k");
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        EdgeStoreFixture fixture(seed, 3);
+        fixture.servers.failure_rate = 1;
+        for (int i = 0; i < 10; ++i) fixture.submit(i % 2 == 0 ? "plain" : "lines", i % 2 == 0 ? "" : "k");
         for (int round = 0; round < 3; ++round) {
-            play.world().run(Millis(100) + drawSpan(play, Millis(900)));
-            Struck struck(play, round == 1 ? Trouble::all_power : Trouble::store_killed);
-            struck.begin(Millis(1000));
-            play.world().run(Millis(1000));
-            play.changeView();
-            play.world().run(drawSpan(play, Millis(1000)));
-            struck.end();
+            fixture.world().run(Millis(100) + randomSpan(fixture, Millis(900)));
+            InjectedFault injected(fixture, round == 1 ? Fault::full_power_loss : Fault::store_killed);
+            injected.begin(Millis(1000));
+            fixture.world().run(Millis(1000));
+            fixture.changeView();
+            fixture.world().run(randomSpan(fixture, Millis(1000)));
+            injected.end();
         }
-        play.world().run(Millis(20'000));
+        fixture.world().run(Millis(20'000));
         INFO("seed " << seed);
-        for (const auto& [id, message] : play.seen) {
+        for (const auto& [id, message] : fixture.messages) {
             if (message.status != 202) continue;
             INFO(id);
             CHECK(message.ended.has_value());
@@ -241,30 +243,30 @@
 }
 
 TEST_CASE("a message with a delay begins after it, whoever owns it by then") {
-    for (std::uint64_t seed = 1; seed <= seedsOfPlay(); ++seed) {
-        Play play(seed, 3);
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
+        EdgeStoreFixture fixture(seed, 3);
         for (int i = 0; i < 30; ++i) {
-            play.submit("plain", {}, false, 1000 + drawSpan(play, Millis(6000)).count());
-            play.world().run(Millis(30));
+            fixture.submit("plain", {}, false, 1000 + randomSpan(fixture, Millis(6000)).count());
+            fixture.world().run(Millis(30));
         }
-        StoreMachine& store = *play.stores.machines[seed % 3];
+        StoreMachine& store = *fixture.stores.machines[seed % 3];
         if (seed % 2 == 0)
-            play.stores.wipe(store);
+            fixture.stores.wipe(store);
         else
-            play.stores.cutPower(store);
-        play.world().run(Millis(1000));
-        play.changeView();
-        play.world().run(Millis(500));
-        play.stores.start(store);
-        play.changeView();
-        play.world().run(Millis(12'000));
+            fixture.stores.cutPower(store);
+        fixture.world().run(Millis(1000));
+        fixture.changeView();
+        fixture.world().run(Millis(500));
+        fixture.stores.start(store);
+        fixture.changeView();
+        fixture.world().run(Millis(12'000));
         INFO("seed " << seed);
-        for (const auto& [id, message] : play.seen) {
+        for (const auto& [id, message] : fixture.messages) {
             if (message.status != 202) continue;
             INFO(id);
             REQUIRE(message.first_run.has_value());
             CHECK(*message.first_run >= message.sent + Millis(message.delay_ms));
-            CHECK(*message.first_run < message.sent + Millis(message.delay_ms) + kSteady);
+            CHECK(*message.first_run < message.sent + Millis(message.delay_ms) + kSettleTime);
         }
     }
 }
