--- a/tests/cluster/edge_store_world.hpp
+++ b/tests/cluster/edge_store_world.hpp
@@ -19,7 +19,7 @@
 using namespace amberswitch::cluster::simulation;
 
 // What clients and servers know of one message.
-struct Seen {
+struct ObservedMessage {
     std::string route;
     std::string order_key;
     std::string ref;
@@ -40,28 +40,29 @@
     bool success_read = false;
     int runs_after_read_success = 0;
     bool wants_callback = false;
-    int callbacks_taken = 0;
-    std::optional<SteadyTime> called_back;  // for the first time
-    std::string state;                      // as told in the end
+    int callbacks_delivered = 0;
+    std::optional<SteadyTime> first_callback_at;  // for the first time
+    std::string state;                            // as told in the end
 };
 
-struct ServerPlay {
-    double lost_answers = 0;
-    double failures = 0;
-    double rejections = 0;
-    double full = 0;
-    Millis work{30};
+struct ServerBehavior {
+    double lost_answer_rate = 0;
+    double failure_rate = 0;
+    double rejection_rate = 0;
+    double full_rate = 0;
+    Millis mean_response_time{30};
     bool receiver_down = false;
-    std::size_t receiver_connections = std::numeric_limits<std::size_t>::max();  // it resets those beyond
+    std::size_t max_receiver_connections = std::numeric_limits<std::size_t>::max();  // it resets those beyond
 };
 
-class Play;
+class EdgeStoreFixture;
 
 // The servers as one edge process reaches them; silent once the process is dead.
-class ProcessHttp : public HttpClient {
+class EdgeProcessHttp : public HttpClient {
 public:
-    explicit ProcessHttp(Play& play) : play_(play), alive_(std::make_shared<bool>(true)) {}
-    ~ProcessHttp() override;
+    explicit EdgeProcessHttp(EdgeStoreFixture& fixture)
+        : fixture_(fixture), alive_(std::make_shared<bool>(true)) {}
+    ~EdgeProcessHttp() override;
     void send(HttpCall call, std::function<void(HttpOutcome)> done) override;
     std::size_t connectionsTo(const NodeAddress&) const override { return 0; }
     void forget(const NodeAddress&) override {}
@@ -69,13 +70,13 @@
 
 private:
     HttpOutcome run(const HttpCall& call, Millis span);
-    void checkBudget(const std::string& id, Seen& message);
-    HttpOutcome callBack(const HttpCall& call);
+    void checkBudget(const std::string& id, ObservedMessage& message);
+    HttpOutcome handleCallback(const HttpCall& call);
     // Takes an idle connection to the receiver or makes one. False: the receiver resets it.
     bool connectToReceiver();
     void sendCallback(const HttpCall& call, Millis span, std::function<void(HttpOutcome)> done);
 
-    Play& play_;
+    EdgeStoreFixture& fixture_;
     std::size_t receiver_connections_ = 0;  // kept as long as the process lives
     std::size_t receiver_calls_ = 0;        // under way
     std::shared_ptr<bool> alive_;
@@ -84,14 +85,14 @@
 struct EdgeProcess {
     std::unique_ptr<SimulatedScheduler> scheduler;
     std::unique_ptr<MemoryTransport> transport;
-    std::unique_ptr<ProcessHttp> http;
+    std::unique_ptr<EdgeProcessHttp> http;
     std::unique_ptr<EdgeNode> node;
 };
 
-class Play {
+class EdgeStoreFixture {
 public:
-    Play(std::uint64_t seed, int edge_count);
-    ~Play() {
+    EdgeStoreFixture(std::uint64_t seed, int edge_count);
+    ~EdgeStoreFixture() {
         for (std::size_t i = 0; i < edges.size(); ++i) killEdge(i);
     }
 
@@ -102,25 +103,25 @@
     void submit(const std::string& route, const std::string& order_key = {}, bool callback = false,
                 std::int64_t delay_ms = 0);
     // Asks for the state of every accepted message.
-    void askStates();
+    void queryStates();
     void check();
     std::size_t accepted() const;
     std::size_t unfinished() const;
-    std::string faultText() const;
+    std::string violationText() const;
     World& world() { return stores.world; }
 
     StoreWorld stores;
-    ServerPlay servers;
+    ServerBehavior servers;
     std::vector<EdgeProcess> edges;
-    std::map<std::string, Seen> seen;
-    std::vector<std::string> faults;
+    std::map<std::string, ObservedMessage> messages;
+    std::vector<std::string> violations;
     std::vector<SteadyTime> limited_arrivals;
     int runs_over_budget = 0;  // of messages whose last answer was read already
     std::size_t receiver_connections = 0;
     std::size_t receiver_resets = 0;
 
 private:
-    void tellEdge(std::size_t index);
+    void configureEdge(std::size_t index);
 
     Incarnation last_incarnation_ = 1000;
     int last_id_ = 0;
@@ -132,7 +133,8 @@
     return options;
 }
 
-inline Play::Play(std::uint64_t seed, int edge_count) : stores(seed, withoutFakeEdges()) {
+inline EdgeStoreFixture::EdgeStoreFixture(std::uint64_t seed, int edge_count)
+    : stores(seed, withoutFakeEdges()) {
     for (Route& route : stores.configuration->routes) {
         route.hostname = "host.example";
         route.path_prefix = "/" + route.name + "/";
@@ -153,7 +155,7 @@
     world().run(Millis(1500));
 }
 
-inline void Play::startEdge(std::size_t index) {
+inline void EdgeStoreFixture::startEdge(std::size_t index) {
     NodeSettings settings;
     settings.name = "edge-" + std::to_string(index);
     settings.zone = "zone-" + std::to_string(index % 3);
@@ -163,16 +165,16 @@
     process.scheduler = std::make_unique<SimulatedScheduler>(world());
     process.transport = std::make_unique<MemoryTransport>(world(), stores.network,
                                                           settings.internalAddress(PortOffset::edge));
-    process.http = std::make_unique<ProcessHttp>(*this);
+    process.http = std::make_unique<EdgeProcessHttp>(*this);
     process.node = std::make_unique<EdgeNode>(*process.scheduler, *process.transport, *process.http, settings,
                                               ++last_incarnation_);
     process.node->start();
     const auto count = static_cast<std::uint32_t>(edges.size());
     process.node->setEdgeShare({count, count, static_cast<std::uint32_t>(index)});
-    tellEdge(index);
+    configureEdge(index);
 }
 
-inline void Play::killEdge(std::size_t index) {
+inline void EdgeStoreFixture::killEdge(std::size_t index) {
     EdgeProcess& process = edges[index];
     if (!process.scheduler) return;
     process.scheduler->kill();
@@ -182,7 +184,7 @@
     process.scheduler.reset();
 }
 
-inline void Play::tellEdge(std::size_t index) {
+inline void EdgeStoreFixture::configureEdge(std::size_t index) {
     auto list = std::make_shared<ServerList>();
     list->version = {1, 1};
     for (const char* service : {"servers", "board"}) {
@@ -203,7 +205,7 @@
     node.onServers(list);
 }
 
-inline void Play::changeView() {
+inline void EdgeStoreFixture::changeView() {
     stores.changeView();
     for (std::size_t i = 0; i < edges.size(); ++i) {
         world().at(world().now() + Millis(static_cast<std::int64_t>(world().chance() * 20)),
@@ -213,12 +215,12 @@
     }
 }
 
-inline void Play::submit(const std::string& route, const std::string& order_key, bool callback,
-                         std::int64_t delay_ms) {
+inline void EdgeStoreFixture::submit(const std::string& route, const std::string& order_key, bool callback,
+                                     std::int64_t delay_ms) {
     const auto index = static_cast<std::size_t>(world().chance() * static_cast<double>(edges.size()));
     if (!edges[index].node) return;
     const std::string id = "m" + std::to_string(++last_id_);
-    Seen& message = seen[id];
+    ObservedMessage& message = messages[id];
     message.route = route;
     message.order_key = order_key;
     message.sent = world().now();
@@ -232,25 +234,26 @@
     if (callback) request.headers.push_back({"Callback-Url", "http://10.9.0.7:80/done"});
     if (delay_ms > 0) request.headers.push_back({"Delay-Ms", std::to_string(delay_ms)});
     request.body = "body of " + id;
-    edges[index].node->handleFront(request, [this, id](const HttpResponse& response) {
-        Seen& answered = seen[id];
+    edges[index].node->handleClientRequest(request, [this, id](const HttpResponse& response) {
+        ObservedMessage& answered = messages[id];
         answered.status = response.status;
         answered.answered = world().now();
         answered.ref = headerValue(response.headers, "Message-Ref");
-        const bool promised = response.status == 503;
-        if (promised && answered.runs > 0) faults.push_back("refused: " + id + " had run");
+        const bool promised_not_stored = response.status == 503;
+        if (promised_not_stored && answered.runs > 0) violations.push_back("refused: " + id + " had run");
     });
 }
 
-inline ProcessHttp::~ProcessHttp() {
-    play_.receiver_connections -= receiver_connections_;
+inline EdgeProcessHttp::~EdgeProcessHttp() {
+    fixture_.receiver_connections -= receiver_connections_;
     *alive_ = false;
 }
 
-inline void ProcessHttp::send(HttpCall call, std::function<void(HttpOutcome)> done) {
-    World& world = play_.world();
+inline void EdgeProcessHttp::send(HttpCall call, std::function<void(HttpOutcome)> done) {
+    World& world = fixture_.world();
     const auto span =
-        Millis(1 + static_cast<std::int64_t>(world.chance() * 2 * double(play_.servers.work.count())));
+        Millis(1 + static_cast<std::int64_t>(world.chance() * 2 *
+                                             double(fixture_.servers.mean_response_time.count())));
     const bool callback = headerValue(call.request.headers, "Request-Id").empty();
     if (callback) return sendCallback(call, span, std::move(done));
     const HttpOutcome outcome = run(call, span);
@@ -260,26 +263,27 @@
 }
 
 // The rule's own bounds: three times the route's maxRetries (3) answers of 500, three of 422.
-inline void ProcessHttp::checkBudget(const std::string& id, Seen& message) {
-    if (message.failures_answered >= 9) play_.faults.push_back("budget: " + id + " after nine of 500");
-    if (message.rejections_answered >= 3) play_.faults.push_back("budget: " + id + " after three of 422");
-    const bool is_over = message.failures_read >= 3 || message.rejections_read >= 1;
-    if (is_over) ++play_.runs_over_budget;
+inline void EdgeProcessHttp::checkBudget(const std::string& id, ObservedMessage& message) {
+    if (message.failures_answered >= 9) fixture_.violations.push_back("budget: " + id + " after nine of 500");
+    if (message.rejections_answered >= 3)
+        fixture_.violations.push_back("budget: " + id + " after three of 422");
+    const bool budget_used_up = message.failures_read >= 3 || message.rejections_read >= 1;
+    if (budget_used_up) ++fixture_.runs_over_budget;
 }
 
-inline HttpOutcome ProcessHttp::run(const HttpCall& call, Millis span) {
-    World& world = play_.world();
+inline HttpOutcome EdgeProcessHttp::run(const HttpCall& call, Millis span) {
+    World& world = fixture_.world();
     const std::string id(headerValue(call.request.headers, "Request-Id"));
-    Seen& message = play_.seen.at(id);
-    if (call.request.body != "body of " + id) play_.faults.push_back("unasked: the body of " + id);
+    ObservedMessage& message = fixture_.messages.at(id);
+    if (call.request.body != "body of " + id) fixture_.violations.push_back("unasked: the body of " + id);
     if (headerValue(call.request.headers, "Order-Key") != message.order_key)
-        play_.faults.push_back("unasked: the order key of " + id);
+        fixture_.violations.push_back("unasked: the order key of " + id);
     checkBudget(id, message);
-    if (message.status == 503) play_.faults.push_back("refused: " + id + " runs");
-    if (message.route == "limited") play_.limited_arrivals.push_back(world.now());
+    if (message.status == 503) fixture_.violations.push_back("refused: " + id + " runs");
+    if (message.route == "limited") fixture_.limited_arrivals.push_back(world.now());
     HttpOutcome outcome;
     outcome.verdict = CallStatus::answered;
-    if (world.chance() < play_.servers.full) {
+    if (world.chance() < fixture_.servers.full_rate) {
         outcome.response.status = 503;
         outcome.response.headers = {{"Not-Executed", "1"}};
         return outcome;
@@ -288,20 +292,20 @@
     if (!message.first_run) message.first_run = world.now();
     message.last_run = world.now();
     if (message.success_read) ++message.runs_after_read_success;
-    for (const auto& [other_id, other] : play_.seen) {
+    for (const auto& [other_id, other] : fixture_.messages) {
         const bool earlier = other.status == 202 && other.answered < message.sent;
         if (message.order_key.empty() || other.order_key != message.order_key || !earlier) continue;
-        if (!other.ended) play_.faults.push_back("order: " + id + " before the end of " + other_id);
+        if (!other.ended) fixture_.violations.push_back("order: " + id + " before the end of " + other_id);
     }
-    const double luck = world.chance();
-    const bool failed = luck < play_.servers.failures;
-    const bool rejected = !failed && luck < play_.servers.failures + play_.servers.rejections;
+    const double draw = world.chance();
+    const bool failed = draw < fixture_.servers.failure_rate;
+    const bool rejected = !failed && draw < fixture_.servers.failure_rate + fixture_.servers.rejection_rate;
     const std::string stamp = "s" + std::to_string(message.runs) + id;
-    const bool lost = world.chance() < play_.servers.lost_answers;
+    const bool lost = world.chance() < fixture_.servers.lost_answer_rate;
     outcome.response.status = failed ? 500 : rejected ? 422 : 200;
     if (!failed && !rejected) outcome.response.headers = {{"Response-Stamp", stamp}};
-    world.at(world.now() + span, [&play = play_, alive = alive_, id, failed, rejected, stamp, lost] {
-        Seen& ending = play.seen.at(id);
+    world.at(world.now() + span, [&fixture = fixture_, alive = alive_, id, failed, rejected, stamp, lost] {
+        ObservedMessage& ending = fixture.messages.at(id);
         if (failed) ++ending.failures;
         if (failed) ++ending.failures_answered;
         if (rejected) ++ending.rejections_answered;
@@ -311,29 +315,29 @@
         const bool ends = !failed || ending.failures >= 3;
         if (!failed && !rejected) ending.stamps.insert(stamp);
         if (!failed && !rejected && !lost && *alive) ending.success_read = true;
-        if (ends && !ending.ended) ending.ended = play.world().now();
+        if (ends && !ending.ended) ending.ended = fixture.world().now();
     });
     if (lost) return HttpOutcome{};
     return outcome;
 }
 
-inline bool ProcessHttp::connectToReceiver() {
+inline bool EdgeProcessHttp::connectToReceiver() {
     if (receiver_calls_ < receiver_connections_) return true;
-    if (play_.receiver_connections >= play_.servers.receiver_connections) {
-        ++play_.receiver_resets;
+    if (fixture_.receiver_connections >= fixture_.servers.max_receiver_connections) {
+        ++fixture_.receiver_resets;
         return false;
     }
     ++receiver_connections_;
-    ++play_.receiver_connections;
+    ++fixture_.receiver_connections;
     return true;
 }
 
-inline void ProcessHttp::sendCallback(const HttpCall& call, Millis span,
-                                      std::function<void(HttpOutcome)> done) {
+inline void EdgeProcessHttp::sendCallback(const HttpCall& call, Millis span,
+                                          std::function<void(HttpOutcome)> done) {
     const bool connected = connectToReceiver();
-    const HttpOutcome outcome = connected ? callBack(call) : HttpOutcome{};
+    const HttpOutcome outcome = connected ? handleCallback(call) : HttpOutcome{};
     if (connected) ++receiver_calls_;
-    World& world = play_.world();
+    World& world = fixture_.world();
     world.at(world.now() + span, [this, alive = alive_, connected, outcome, done = std::move(done)] {
         if (!*alive) return;
         if (connected) --receiver_calls_;
@@ -341,42 +345,42 @@
     });
 }
 
-inline HttpOutcome ProcessHttp::callBack(const HttpCall& call) {
+inline HttpOutcome EdgeProcessHttp::handleCallback(const HttpCall& call) {
     HttpOutcome outcome;
-    if (play_.servers.receiver_down) {
+    if (fixture_.servers.receiver_down) {
         outcome.verdict = CallStatus::not_executed;
         outcome.unreachable = true;
         return outcome;
     }
     const std::string& body = call.request.body;
     const std::size_t begin = body.find(R"("uid":")") + 7;
-    Seen& message = play_.seen.at(body.substr(begin, body.find('"', begin) - begin));
-    ++message.callbacks_taken;
-    if (!message.called_back) message.called_back = play_.world().now();
+    ObservedMessage& message = fixture_.messages.at(body.substr(begin, body.find('"', begin) - begin));
+    ++message.callbacks_delivered;
+    if (!message.first_callback_at) message.first_callback_at = fixture_.world().now();
     const std::string stamp_key = R"("stamp":")";
     const std::size_t stamp = body.find(stamp_key);
     if (stamp != std::string::npos) {
         const std::size_t from = stamp + stamp_key.size();
         if (!message.stamps.contains(body.substr(from, body.find('"', from) - from))) {
-            play_.faults.push_back("mixed: a call-back with a stamp of no run");
+            fixture_.violations.push_back("mixed: a call-back with a stamp of no run");
         }
     } else if (!message.ended) {
-        play_.faults.push_back("mixed: a call-back says dead_letter before the end");
+        fixture_.violations.push_back("mixed: a call-back says dead_letter before the end");
     }
     outcome.verdict = CallStatus::answered;
     return outcome;
 }
 
-inline void Play::askStates() {
+inline void EdgeStoreFixture::queryStates() {
     std::size_t next = 0;
-    for (auto& [id, message] : seen) {
+    for (auto& [id, message] : messages) {
         if (message.status != 202) continue;
         while (!edges[next % edges.size()].node) ++next;
         HttpRequest request;
         request.method = "GET";
         request.target = "/message/" + message.ref;
         request.headers = {{"Host", "host.example"}};
-        edges[next++ % edges.size()].node->handleFront(
+        edges[next++ % edges.size()].node->handleClientRequest(
             request, [&message = message](const HttpResponse& response) {
                 message.state = response.status == 200 ? response.body : std::to_string(response.status);
             });
@@ -385,36 +389,36 @@
     world().run(Millis(2500));
 }
 
-inline void Play::check() {
-    askStates();
-    for (const auto& [id, message] : seen) {
+inline void EdgeStoreFixture::check() {
+    queryStates();
+    for (const auto& [id, message] : messages) {
         if (message.status != 202) continue;
-        if (!message.ended) faults.push_back("lost: " + id + " has not ended");
+        if (!message.ended) violations.push_back("lost: " + id + " has not ended");
         const bool completed = message.state.find("completed") != std::string::npos;
         const bool dead = message.state.find("dead_letter") != std::string::npos;
-        if (!completed && !dead) faults.push_back("state: " + id + " is " + message.state);
-        if (completed && message.stamps.empty()) faults.push_back("mixed: " + id + " has no stamp");
-        if (message.wants_callback && message.callbacks_taken == 0) {
-            faults.push_back("call-back: none for " + id);
+        if (!completed && !dead) violations.push_back("state: " + id + " is " + message.state);
+        if (completed && message.stamps.empty()) violations.push_back("mixed: " + id + " has no stamp");
+        if (message.wants_callback && message.callbacks_delivered == 0) {
+            violations.push_back("call-back: none for " + id);
         }
     }
 }
 
-inline std::size_t Play::accepted() const {
+inline std::size_t EdgeStoreFixture::accepted() const {
     std::size_t count = 0;
-    for (const auto& [id, message] : seen) count += message.status == 202;
+    for (const auto& [id, message] : messages) count += message.status == 202;
     return count;
 }
 
-inline std::size_t Play::unfinished() const {
+inline std::size_t EdgeStoreFixture::unfinished() const {
     std::size_t count = 0;
-    for (const auto& [id, message] : seen) count += message.status == 202 && !message.ended;
+    for (const auto& [id, message] : messages) count += message.status == 202 && !message.ended;
     return count;
 }
 
-inline std::string Play::faultText() const {
+inline std::string EdgeStoreFixture::violationText() const {
     std::string text;
-    for (std::size_t i = 0; i < faults.size() && i < 10; ++i) text += faults[i] + "\n";
+    for (std::size_t i = 0; i < violations.size() && i < 10; ++i) text += violations[i] + "\n";
     return text;
 }
 
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -39,12 +39,12 @@
     outcome.unreachable = true;
     return outcome;
 }
-inline HttpOutcome silent() {
+inline HttpOutcome timedOut() {
     HttpOutcome outcome;
     outcome.timed_out = true;
     return outcome;
 }
-inline HttpOutcome brokenOff() {
+inline HttpOutcome connectionLost() {
     return {};
 }
 
@@ -56,30 +56,30 @@
         SteadyTime at;
     };
     // What an address answers, and after how long. Nothing: it holds the request until release().
-    using Play = std::function<std::optional<HttpOutcome>(const HttpCall&)>;
+    using Script = std::function<std::optional<HttpOutcome>(const HttpCall&)>;
 
     explicit FakeHttp(World& world) : world_(world) {}
 
-    Play play = [](const HttpCall&) { return success("stamp"); };
-    Millis work{10};
+    Script script = [](const HttpCall&) { return success("stamp"); };
+    Millis response_delay{10};
     std::vector<Sent> sent;
 
     void send(HttpCall call, std::function<void(HttpOutcome)> done) override {
         sent.push_back({call, world_.now()});
         ++open_[call.to];
-        most_open = std::max(most_open, open_[call.to]);
+        max_open = std::max(max_open, open_[call.to]);
         const auto finish = [this, to = call.to, done = std::move(done)](HttpOutcome outcome) {
             --open_[to];
             done(std::move(outcome));
         };
-        std::optional<HttpOutcome> outcome = play(call);
+        std::optional<HttpOutcome> outcome = script(call);
         if (!outcome) return held_.push_back(finish);
-        world_.at(world_.now() + work, [finish, outcome] { finish(*outcome); });
+        world_.at(world_.now() + response_delay, [finish, outcome] { finish(*outcome); });
     }
     std::size_t connectionsTo(const NodeAddress& address) const override {
         return connected.contains(address) ? 1 : 0;
     }
-    void forget(const NodeAddress& address) override { forgotten.push_back(address); }
+    void forget(const NodeAddress& address) override { drained_addresses.push_back(address); }
 
     // Answers the request that has been held the longest.
     void release(HttpOutcome outcome) {
@@ -94,9 +94,9 @@
         return count;
     }
 
-    std::size_t most_open = 0;
+    std::size_t max_open = 0;
     std::set<NodeAddress> connected;  // where connections are open
-    std::vector<NodeAddress> forgotten;
+    std::vector<NodeAddress> drained_addresses;
 
 private:
     World& world_;
@@ -116,12 +116,12 @@
 
     AcceptMessageReply accept_reply{AcceptStatus::stored, true, 1, 1};
     bool answers_accepts = true;
-    bool grants_unasked = false;  // also where the edge does not want it
-    bool takes_reports = true;
+    bool grants_unrequested = false;  // also where the edge does not want it
+    bool acknowledges_reports = true;
     StateReply state_reply{QueryStatus::found, Phase::pending, "", "body"};
     std::vector<AcceptMessageRequest> accepts;
     std::vector<RunResult> results;  // that were taken
-    std::vector<RunResult> refused;
+    std::vector<RunResult> unacknowledged;
     std::size_t report_calls = 0;
     std::vector<EdgeSync> syncs;
     std::vector<StateQuery> queries;
@@ -163,17 +163,17 @@
     }
     AcceptMessageReply acceptReply(const AcceptMessageRequest& request) const {
         AcceptMessageReply made = accept_reply;
-        made.granted = made.granted && (request.wants_grant || grants_unasked);
+        made.granted = made.granted && (request.wants_grant || grants_unrequested);
         return made;
     }
-    void report(const RunReport& told, const Responder& respond) {
+    void report(const RunReport& received, const Responder& respond) {
         ++report_calls;
-        RunReportReply answered;
-        for (const RunResult& result : told.results) {
-            (takes_reports ? results : refused).push_back(result);
-            answered.accepted.push_back(takes_reports);
+        RunReportReply reply_message;
+        for (const RunResult& result : received.results) {
+            (acknowledges_reports ? results : unacknowledged).push_back(result);
+            reply_message.accepted.push_back(acknowledges_reports);
         }
-        respond(reply(answered));
+        respond(reply(reply_message));
     }
 
     NodeAddress address_;
@@ -262,10 +262,10 @@
     ~EdgeWorld() { scheduler.kill(); }
 
     // Everything that an edge needs to serve; the owner of partition p is store p % stores.
-    void feed() {
+    void provideAll() {
         edge->onView(view(1));
         edge->onConfiguration(edge_test::configuration());
-        list(servers);
+        listServers(servers);
     }
     std::shared_ptr<StoreView> view(Epoch epoch) const {
         auto made = std::make_shared<StoreView>();
@@ -297,7 +297,7 @@
         }
         return made;
     }
-    void list(std::vector<ServerEntry> entries) {
+    void listServers(std::vector<ServerEntry> entries) {
         auto made = std::make_shared<ServerList>();
         made->version = {1, ++list_version_};
         made->servers = std::move(entries);
@@ -314,14 +314,14 @@
         return made;
     }
     // The answer to a request of a client, if one came within the span.
-    std::optional<HttpResponse> ask(const HttpRequest& asked, Millis span = Millis(3000)) {
+    std::optional<HttpResponse> responseTo(const HttpRequest& asked, Millis span = Millis(3000)) {
         auto response = std::make_shared<std::optional<HttpResponse>>();
-        edge->handleFront(asked, [response](HttpResponse given) { *response = std::move(given); });
+        edge->handleClientRequest(asked, [response](HttpResponse given) { *response = std::move(given); });
         world.runUntil([&] { return response->has_value(); }, span);
         return *response;
     }
     int statusOf(const HttpRequest& asked, Millis span = Millis(3000)) {
-        const auto response = ask(asked, span);
+        const auto response = responseTo(asked, span);
         return response ? response->status : 0;
     }
     Grant grant(const std::string& id, PartitionId partition = 0, std::uint64_t attempt = 1) const {
@@ -358,7 +358,7 @@
         for (const auto& store : stores) all.insert(all.end(), store->results.begin(), store->results.end());
         return all;
     }
-    std::size_t acceptsAsked() const {
+    std::size_t acceptRequestCount() const {
         std::size_t count = 0;
         for (const auto& store : stores) count += store->accepts.size();
         return count;
--- a/tests/cluster/server_subset_test.cpp
+++ b/tests/cluster/server_subset_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Dispatchers and servers in drawn or given regions, one zone each.
-struct Site {
+struct Deployment {
     std::vector<std::uint32_t> edges;    // by region
     std::vector<std::uint32_t> servers;  // by region
 
@@ -27,26 +27,27 @@
             region_of_zone[zoneOf(region)] = "region-" + std::to_string(region);
         return Topology(region_of_zone);
     }
-    std::vector<ServerPlace> places() const {
-        std::vector<ServerPlace> places;
+    std::vector<ServerLocation> locations() const {
+        std::vector<ServerLocation> locations;
         for (std::size_t region = 0; region < servers.size(); ++region) {
             for (std::uint32_t index = 0; index < servers[region]; ++index)
-                places.push_back({"server-" + std::to_string(places.size()), zoneOf(region)});
+                locations.push_back({"server-" + std::to_string(locations.size()), zoneOf(region)});
         }
-        return places;
+        return locations;
     }
-    std::uint32_t allEdges() const { return std::accumulate(edges.begin(), edges.end(), 0U); }
-    ServerSubset subsetOf(std::size_t region, std::uint32_t rank, std::uint32_t most) const {
-        return chooseServers(places(), topology(), zoneOf(region), most, {allEdges(), edges[region], rank});
+    std::uint32_t edgeCount() const { return std::accumulate(edges.begin(), edges.end(), 0U); }
+    ServerSubset subsetOf(std::size_t region, std::uint32_t rank, std::uint32_t max_connections) const {
+        return chooseServers(locations(), topology(), zoneOf(region), max_connections,
+                             {edgeCount(), edges[region], rank});
     }
     // Connections to each server, were every dispatcher to use all that it may.
-    std::vector<std::uint32_t> connectionsOfAll(std::uint32_t most) const {
-        std::vector<std::uint32_t> sum(places().size(), 0);
+    std::vector<std::uint32_t> connectionsOfAll(std::uint32_t max_connections) const {
+        std::vector<std::uint32_t> sum(locations().size(), 0);
         for (std::size_t region = 0; region < edges.size(); ++region) {
             for (std::uint32_t rank = 0; rank < edges[region]; ++rank) {
-                const ServerSubset subset = subsetOf(region, rank, most);
+                const ServerSubset subset = subsetOf(region, rank, max_connections);
                 for (std::size_t index = 0; index < sum.size(); ++index)
-                    sum[index] += subset.chosen[index] ? subset.connections_each : 0;
+                    sum[index] += subset.chosen[index] ? subset.connections_per_server : 0;
             }
         }
         return sum;
@@ -61,34 +62,34 @@
 
 TEST_CASE("over drawn regions, dispatchers, servers and connections, no server gets more than it takes") {
     std::mt19937_64 random(7);
-    const auto draw = [&random](std::uint32_t least, std::uint32_t most) {
-        return std::uniform_int_distribution<std::uint32_t>(least, most)(random);
+    const auto draw = [&random](std::uint32_t least, std::uint32_t max_connections) {
+        return std::uniform_int_distribution<std::uint32_t>(least, max_connections)(random);
     };
-    for (int play = 0; play < 500; ++play) {
-        Site site;
+    for (int round = 0; round < 500; ++round) {
+        Deployment deployment;
         const std::size_t regions = draw(1, 4);
         for (std::size_t region = 0; region < regions; ++region) {
-            site.edges.push_back(draw(1, 80));
-            site.servers.push_back(draw(0, 3) == 0 ? 0 : draw(1, 25));
+            deployment.edges.push_back(draw(1, 80));
+            deployment.servers.push_back(draw(0, 3) == 0 ? 0 : draw(1, 25));
         }
-        if (site.places().empty()) continue;
-        const std::uint32_t most = draw(2, 120);
-        CAPTURE(play);
-        CAPTURE(most);
-        const auto sums = site.connectionsOfAll(most);
-        CHECK(*std::max_element(sums.begin(), sums.end()) <= most);
+        if (deployment.locations().empty()) continue;
+        const std::uint32_t max_connections = draw(2, 120);
+        CAPTURE(round);
+        CAPTURE(max_connections);
+        const auto sums = deployment.connectionsOfAll(max_connections);
+        CHECK(*std::max_element(sums.begin(), sums.end()) <= max_connections);
     }
 }
 
 TEST_CASE("everybody has two servers of its region where there are connections enough") {
-    const Site site{{15, 14, 16}, {3, 2, 3}};
+    const Deployment deployment{{15, 14, 16}, {3, 2, 3}};
     for (std::size_t region = 0; region < 3; ++region) {
-        for (std::uint32_t rank = 0; rank < site.edges[region]; ++rank) {
-            const ServerSubset subset = site.subsetOf(region, rank, 24);
-            const auto places = site.places();
+        for (std::uint32_t rank = 0; rank < deployment.edges[region]; ++rank) {
+            const ServerSubset subset = deployment.subsetOf(region, rank, 24);
+            const auto locations = deployment.locations();
             std::size_t own = 0;
-            for (std::size_t index = 0; index < places.size(); ++index)
-                own += subset.chosen[index] && places[index].zone == Site::zoneOf(region) ? 1 : 0;
+            for (std::size_t index = 0; index < locations.size(); ++index)
+                own += subset.chosen[index] && locations[index].zone == Deployment::zoneOf(region) ? 1 : 0;
             CHECK(own == 2);
             CHECK(sizeOf(subset) <= 3);  // and one beyond, in case that both are bad
         }
@@ -96,37 +97,38 @@
 }
 
 TEST_CASE("connections of processes that are gone find room beside those of the next ones") {
-    const Site site{{15, 14, 16}, {11, 10, 11}};
-    const auto sums = site.connectionsOfAll(24);
+    const Deployment deployment{{15, 14, 16}, {11, 10, 11}};
+    const auto sums = deployment.connectionsOfAll(24);
     CHECK(*std::min_element(sums.begin(), sums.end()) > 0);
     CHECK(2 * *std::max_element(sums.begin(), sums.end()) <= 30);
     for (const std::uint32_t sum : sums) CHECK(sum <= 15);
 }
 
 TEST_CASE("few dispatchers use all servers, with all the connections that they may have") {
-    const ServerSubset subset = Site{{8}, {9}}.subsetOf(0, 3, 110);
+    const ServerSubset subset = Deployment{{8}, {9}}.subsetOf(0, 3, 110);
     CHECK(sizeOf(subset) == 9);
-    CHECK(subset.connections_each == 12);
+    CHECK(subset.connections_per_server == 12);
 }
 
 TEST_CASE("a region without servers uses those of others within what is left to it") {
-    const Site site{{30, 30}, {20, 0}};
+    const Deployment deployment{{30, 30}, {20, 0}};
     std::size_t with_server = 0;
     for (std::uint32_t rank = 0; rank < 30; ++rank)
-        with_server += sizeOf(site.subsetOf(1, rank, 40)) > 0 ? 1 : 0;
+        with_server += sizeOf(deployment.subsetOf(1, rank, 40)) > 0 ? 1 : 0;
     CHECK(with_server == 30);
 }
 
 TEST_CASE("where there are fewer connections than dispatchers, as many as possible get one") {
-    const Site site{{100}, {1}};
+    const Deployment deployment{{100}, {1}};
     std::size_t with_connection = 0;
-    for (std::uint32_t rank = 0; rank < 100; ++rank) with_connection += sizeOf(site.subsetOf(0, rank, 20));
+    for (std::uint32_t rank = 0; rank < 100; ++rank)
+        with_connection += sizeOf(deployment.subsetOf(0, rank, 20));
     CHECK(with_connection == 15);
 }
 
 TEST_CASE("one dispatcher more or less moves few connections") {
-    const Site before{{45}, {32}};
-    const Site after{{46}, {32}};
+    const Deployment before{{45}, {32}};
+    const Deployment after{{46}, {32}};
     std::size_t kept = 0;
     std::size_t all = 0;
     for (std::uint32_t rank = 0; rank < 45; ++rank) {
