--- a/src/cluster/edge/callback_sender.cpp
+++ b/src/cluster/edge/callback_sender.cpp
@@ -79,7 +79,8 @@
     ++open_;
     const std::optional<CallbackUrl> url = parseCallbackUrl(job.url);
     if (!url || leaving_ || open_ > kMaxOpenCallbacks) {
-        // Nobody can be told at a URL that is none; the message's end stands all the same.
+        // An invalid URL has no receiver: the call-back counts as delivered, and the result of the message
+        // stands.
         const bool delivered = !url;
         scheduler_.post([this, job = std::move(job), delivered] { finish(job, delivered); });
         return;
@@ -101,7 +102,7 @@
 }
 
 std::size_t CallbackSender::maxConnections(const Receiver& receiver) const {
-    // One that refused connections gets a single one until it has answered.
+    // A receiver that refused connections gets a single connection until it has answered.
     if (receiver.failures > 0) return 1;
     return plan_.connections_per_sender;
 }
@@ -158,7 +159,7 @@
     --receiver.in_flight;
     const bool answered = outcome.verdict == CallStatus::answered;
     const bool delivered = answered && (outcome.response.status == 200 || outcome.response.status == 400);
-    // A receiver resets connections beyond those that it takes, also after it has let them connect.
+    // A receiver may reset connections above its limit even after it has accepted them.
     const bool refused = !answered && !outcome.timed_out;
     if (refused) {
         ++receiver.failures;
@@ -179,7 +180,7 @@
 void CallbackSender::armTimer(const NodeAddress& address, Receiver& receiver) {
     receiver.timer.reset();
     if (receiver.queue.empty()) return;
-    if (receiver.in_flight >= maxConnections(receiver)) return;  // the next answer goes on
+    if (receiver.in_flight >= maxConnections(receiver)) return;  // the next response calls sendDue() again
     SteadyTime next = SteadyTime::max();
     for (const QueuedCallback& item : receiver.queue) {
         next = std::min(next, std::min(item.expires_at, std::max(item.not_before, receiver.paused_until)));
--- a/src/cluster/edge/callback_sender.hpp
+++ b/src/cluster/edge/callback_sender.hpp
@@ -1,6 +1,6 @@
-// Delivers call-backs: tells the URL of a message how it ended, until the receiver has taken it or the time
-// for it is over. Each receiver has its own queue and few connections, so that one that is down holds up no
-// other.
+// Posts the final phase of a message to its call-back URL and retries until the receiver accepts it or the
+// delivery timeout expires. Each receiver has its own queue and a small connection limit, so that a receiver
+// that is down does not delay the others.
 #pragma once
 
 #include <deque>
@@ -19,7 +19,7 @@
 
 namespace amberswitch::cluster {
 
-// "http://ip:port/path"; nothing where the text is no such URL.
+// Parses "http://ip:port/path"; returns nullopt for any other text.
 struct CallbackUrl {
     NodeAddress address;
     std::string target;
@@ -38,7 +38,8 @@
 
 class CallbackSender {
 public:
-    // Told once for each work; taken: the receiver answered 200 or 400. Never inside begin().
+    // Called once for each job, never from inside enqueue(). `delivered` is true if the receiver answered 200
+    // or 400, or if the URL is invalid.
     using DoneHandler = std::function<void(const CallbackJob&, bool delivered)>;
 
     CallbackSender(Scheduler& scheduler, HttpClient& http, EdgeCounters& counters, std::uint64_t seed,
@@ -46,13 +47,14 @@
 
     void setEdgeCount(std::uint32_t edges);
     bool hasRoom() const;
-    // Whether the call-back of a run that ended here may begin here. Where not all edges may connect to a
-    // receiver, its owner grants it to one of those that may.
+    // Whether this edge may send the call-back of a run that ended here without a grant for it. If only some
+    // edges may connect to a receiver, the owner of the partition grants the call-back to one of those.
     bool mayStartWithoutGrant() const { return hasRoom() && plan_.all_send; }
     void enqueue(CallbackJob job);
-    // This process ends: what is not on its way is handed back as failed, and nothing is tried again.
+    // Begins the shutdown of this process: queued jobs finish as failed at once, and requests in flight are
+    // not retried.
     void leave();
-    // Works that have no end yet.
+    // Jobs that have not finished.
     std::size_t openCount() const { return open_; }
 
 private:
@@ -65,7 +67,7 @@
     struct Receiver {
         std::deque<QueuedCallback> queue;
         std::size_t in_flight = 0;
-        int failures = 0;  // connections refused in a row
+        int failures = 0;  // consecutive refused or reset connections
         SteadyTime paused_until{};
         TimerHandle timer;
     };
--- a/src/cluster/edge/client_request_handler.cpp
+++ b/src/cluster/edge/client_request_handler.cpp
@@ -14,13 +14,13 @@
 constexpr std::string_view kStatePrefix = "/message/";
 constexpr std::string_view kBodyPrefix = "/message-body/";
 constexpr std::string_view kConfigurationPath = "/Config.Read";
-constexpr PartitionId kMaxPartition = 9999;  // for the check that the id fits into a reference
+constexpr PartitionId kMaxPartition = 9999;  // used to check that the id fits into a reference
 
 std::string_view pathOf(std::string_view target) {
     return target.substr(0, target.find('?'));
 }
 
-// Whole milliseconds, 0 or more; nothing for any other text.
+// Parses whole milliseconds, 0 or more; returns nullopt for any other text.
 std::optional<std::int64_t> parseMillis(std::string_view text) {
     std::int64_t value = 0;
     const char* const last = text.data() + text.size();
@@ -35,7 +35,7 @@
     return Millis(*millis);
 }
 
-// Nothing where a header makes no sense.
+// Returns nullopt if a header is invalid.
 std::optional<MessageContent> parseContent(const HttpRequest& request, const Route& route,
                                            const Configuration& configuration) {
     MessageContent content;
--- a/src/cluster/edge/client_request_handler.hpp
+++ b/src/cluster/edge/client_request_handler.hpp
@@ -1,4 +1,4 @@
-// Requests of clients: messages on routes, and questions about messages.
+// Handles the HTTP requests of clients: messages sent to routes, and queries about messages.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,15 @@
         : submitter_(submitter), queries_(queries), counters_(counters) {}
 
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
-    // Answers GET /Config.Read where no route takes it; without one that is a message like any other.
+    // Sets the handler of GET /Config.Read, used unless a route matches that path. Without a handler, the
+    // request is treated as a message.
     void onConfigurationRead(std::function<void(HttpResponder)> read) {
         read_configuration_ = std::move(read);
     }
-    // Every answer from now on asks the client to close its connection.
+    // From now on, every response asks the client to close its connection.
     void leave() { leaving_ = true; }
-    // GET /message/ID and GET /message-body/ID ask for a message, GET /Config.Read for the configuration;
-    // everything else is a message.
+    // GET /message/ID and GET /message-body/ID query a message, GET /Config.Read reads the configuration;
+    // every other request is a message.
     void handle(const HttpRequest& request, HttpResponder respond);
 
 private:
--- a/src/cluster/edge/counters.hpp
+++ b/src/cluster/edge/counters.hpp
@@ -1,4 +1,4 @@
-// What an edge counts, for GET /counters on its readiness address.
+// The counters of an edge, served by GET /counters on its readiness address.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 namespace amberswitch::cluster {
 
 struct EdgeCounters {
-    // Requests of clients, by their answer.
+    // Client requests by response.
     std::uint64_t accepted = 0;
     std::uint64_t no_route = 0;
     std::uint64_t bad_request = 0;
-    std::uint64_t turned_away_busy = 0;  // too many accepts open here
-    std::uint64_t unavailable = 0;       // 503: surely nowhere
-    std::uint64_t uncertain = 0;         // 504: may be stored
-    std::uint64_t accept_retries = 0;    // tries at further owners
+    std::uint64_t turned_away_busy = 0;  // too many submissions in progress on this edge
+    std::uint64_t unavailable = 0;       // 503: certainly not stored
+    std::uint64_t uncertain = 0;         // 504: possibly stored
+    std::uint64_t accept_retries = 0;    // attempts at further owners
     std::uint64_t queries = 0;
     std::uint64_t queries_unanswered = 0;
     // Grants.
@@ -36,7 +36,8 @@
     std::uint64_t broken_off = 0;
     std::uint64_t no_free_connection = 0;
     std::uint64_t no_server = 0;
-    std::uint64_t misdirected = 0;  // not begun: the newest configuration sends the message elsewhere
+    // Not started: the newest configuration routes the message to another service.
+    std::uint64_t misdirected = 0;
     // Call-backs.
     std::uint64_t callback_posts = 0;
     std::uint64_t callbacks_taken = 0;
--- a/src/cluster/edge/deliveries.cpp
+++ b/src/cluster/edge/deliveries.cpp
@@ -5,7 +5,7 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr std::size_t kMaxHeldGrants = 300;  // that have not been reported and taken
+constexpr std::size_t kMaxHeldGrants = 300;  // without an acknowledged last result
 
 RunResult makeResult(const Grant& grant, RunOutcome outcome) {
     RunResult result;
@@ -46,7 +46,7 @@
       callbacks_(scheduler, http, counters, self_.incarnation,
                  [this](const CallbackJob& job, bool delivered) { onCallbackDone(job, delivered); }) {}
 
-// --- Configuration and servers -----------------------------------------------------------------------------
+// --- Configuration and servers ----------------------------------------------------------------------------
 
 void Deliveries::onConfiguration(std::shared_ptr<const Configuration> configuration) {
     configuration_ = std::move(configuration);
@@ -103,7 +103,7 @@
     return route != nullptr && route->service == content.service;
 }
 
-// --- Grants ------------------------------------------------------------------------------------------------
+// --- Grants -----------------------------------------------------------------------------------------------
 
 bool Deliveries::hasRoomFor(const std::string& service) const {
     if (leaving_ || grants_.size() >= kMaxHeldGrants) return false;
@@ -177,7 +177,7 @@
     reports_.add(std::move(report));
 }
 
-// The owner has to know of the run's end before it hears of the call-back.
+// The owner must know the result of the run before it is told of the call-back.
 bool Deliveries::mayReport(const RunResult& result) {
     if (!isCallbackOutcome(result.outcome)) return true;
     const HeldGrant* const entry = grants_.find({result.partition, result.id});
@@ -193,7 +193,7 @@
     entry->callback_only = true;
 }
 
-// --- A change of owners ------------------------------------------------------------------------------------
+// --- Changes of ownership ---------------------------------------------------------------------------------
 
 void Deliveries::onView() {
     for (const RecentResult& end : recent_results_.takeOrphaned(partitions_, scheduler_.now()))
@@ -206,7 +206,7 @@
     const GrantKey key{result.partition, result.id};
     if (HeldGrant* const entry = grants_.find(key)) {
         if (entry->attempt != result.attempt || entry->epoch != result.epoch) return;
-        entry->callback_only = false;  // it goes on, and is told after the end
+        entry->callback_only = false;  // the call-back continues and is reported after the result
         return reports_.add(std::move(result));
     }
     Grant ended;
@@ -226,7 +226,7 @@
     reports_.add(std::move(result));
 }
 
-// --- The planned end ---------------------------------------------------------------------------------------
+// --- Graceful shutdown ------------------------------------------------------------------------------------
 
 void Deliveries::leave() {
     leaving_ = true;
--- a/src/cluster/edge/deliveries.hpp
+++ b/src/cluster/edge/deliveries.hpp
@@ -1,5 +1,5 @@
-// All grants of this edge, from their arrival until an owner has taken their last report: runs go to the
-// dispatcher of their service, call-backs to their receiver, results to the owner of the partition.
+// Manages all grants of this edge, from their arrival until an owner has acknowledged their last result: runs
+// go to the dispatcher of their service, call-backs to their receiver, results to the owner of the partition.
 #pragma once
 
 #include <map>
@@ -22,7 +22,7 @@
 struct EdgeIdentity {
     std::string name;
     std::string zone;
-    NodeAddress address;  // internal
+    NodeAddress address;  // address for calls between nodes
     Incarnation incarnation = 0;
     Topology topology = {};
 };
@@ -34,26 +34,28 @@
 
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
     void onServers(std::shared_ptr<const ServerList> servers);
-    // A newer view. To be called before the owners are told what runs here: ends that a former owner may have
-    // taken with it count as running until its successor has taken them.
+    // Handles a newer view. Must be called before the edge syncs its running attempts to the owners: results
+    // that only a former owner may know count as running until its successor has acknowledged them.
     void onView();
     void setEdgeShare(EdgeShare share);
 
-    // Whether one more run of that service could begin here at once.
+    // Whether this edge can start another run of the service immediately.
     bool hasRoomFor(const std::string& service) const;
-    // Whether a message of that service that is accepted here should run here: an endpoint to which no
-    // connection is open is left to the edges that have one.
+    // Whether this edge should ask for the grant of a message of the service that it submits. False for a
+    // static endpoint to which this edge has no open connection: its messages are left to the edges that have
+    // one.
     bool wantsGrantFor(const std::string& service) const;
-    // False: not taken, not begun and left as it is; it is the owner's again. A repeated grant is taken and
-    // not begun twice.
-    bool acceptGrant(Grant& grant);  // moved from where it is taken
-    // Tells the owner that a grant which take() did not take will not run here.
+    // Returns false if the grant is refused: nothing is started, `grant` is unchanged, and the message stays
+    // with the owner. A repeated grant is accepted but not started twice.
+    bool acceptGrant(Grant& grant);  // moved from if accepted
+    // Reports to the owner that a grant refused by acceptGrant() will not run here.
     void returnGrant(const Grant& grant) { reportNotRun(grant, false); }
     std::vector<RunningAttempt> runningAttempts() const { return grants_.runningAttempts(); }
 
-    // The planned end has begun: nothing new is taken, what has not begun goes back.
+    // Begins the graceful shutdown: new grants are refused, and grants that have not started go back to their
+    // owners.
     void leave();
-    // Nothing runs and every result has been taken.
+    // No run or call-back is in progress and every result has been acknowledged.
     bool isIdle() const {
         return grants_.size() == 0 && reports_.pending() == 0 && callbacks_.openCount() == 0;
     }
@@ -71,8 +73,8 @@
     bool mayReport(const RunResult& result);
     void onCallbackDone(const CallbackJob& job, bool delivered);
     void onResultAcknowledged(const RunResult& result);
-    // The newest configuration of this edge sends the message to the service of the grant, or the grant rests
-    // on a newer one.
+    // Whether the newest configuration of this edge routes the message to the service of the grant, or the
+    // grant was made under a newer configuration.
     bool followsConfiguration(const Grant& grant) const;
     void applyServers();
 
--- a/src/cluster/edge/delivery_answer.cpp
+++ b/src/cluster/edge/delivery_answer.cpp
@@ -29,11 +29,12 @@
 }
 
 DeliveryAnswer classifyNotExecuted(int status, bool rate_limited) {
-    // Another dispatcher's attempt runs now, or the request itself is at fault: no other server helps.
+    // Either another edge's attempt is running (409) or the request itself is invalid (400): another server
+    // would not help.
     if (status == kConflict) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::moot);
     if (status == kBadRequest) return notRunAnswer(Outcome::moot, false);
     if (status == kWrongInstance) return notRunAnswer(Outcome::connectFailed, !rate_limited);
-    // A ceiling is no sign of a server that is full.
+    // Reaching the rate limit does not mean that the server is full.
     return notRunAnswer(rate_limited ? Outcome::moot : Outcome::full, !rate_limited);
 }
 
@@ -49,7 +50,7 @@
         answer.stamp = stamp;
         return answer;
     }
-    // The message is at fault; how long that took says nothing of the server.
+    // The message itself is rejected; the response time says nothing about the server.
     if (response.status == kUnprocessable) return mayHaveRunAnswer(RunOutcome::rejected, Outcome::cancelled);
     if (response.status == kInternalError) return mayHaveRunAnswer(RunOutcome::failed, Outcome::error);
     if (response.status == kGatewayTimeout) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::timeout);
@@ -63,7 +64,8 @@
         case CallStatus::answered:
             return classifyResponse(outcome.response, rate_limited);
         case CallStatus::not_executed: {
-            // Without a connection nothing arrived, so that a ceiling does not count it.
+            // Without a connection nothing reached the server, so the attempt does not count against a rate
+            // limit.
             DeliveryAnswer answer =
                 notRunAnswer(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
             answer.unreachable = outcome.unreachable;
--- a/src/cluster/edge/edge_node.cpp
+++ b/src/cluster/edge/edge_node.cpp
@@ -9,12 +9,12 @@
 namespace amberswitch::cluster {
 namespace {
 
-constexpr Millis kShareDropDelay{10'000};  // after which a lower number of dispatchers counts
+constexpr Millis kShareDropDelay{10'000};  // after which a lower number of edges takes effect
 constexpr Millis kLeaveCheckInterval{50};
-// The platform asks for readiness every second and takes a dispatcher out after two misses: new connections
-// come until then.
+// The platform probes readiness every second and takes an edge out of service after two failures: new
+// connections arrive until then.
 constexpr Millis kServeAfterLeave{2300};
-constexpr Millis kLeaveMargin{1000};  // left of the grace when leave() ends at the latest
+constexpr Millis kLeaveMargin{1000};  // left of the grace period when the shutdown ends at the latest
 constexpr std::string_view kCountersPath = "/counters";
 
 }  // namespace
@@ -38,7 +38,7 @@
     store_heartbeats_.start();
 }
 
-// --- What is distributed -----------------------------------------------------------------------------------
+// --- Views, servers and configuration ---------------------------------------------------------------------
 
 void EdgeNode::onView(std::shared_ptr<const StoreView> view) {
     if (!partitions_.update(std::move(view))) return;
@@ -78,7 +78,7 @@
     deliveries_.setEdgeShare(share);
 }
 
-// --- Requests ----------------------------------------------------------------------------------------------
+// --- Requests ---------------------------------------------------------------------------------------------
 
 void EdgeNode::handleClientRequest(const HttpRequest& request, HttpResponder respond) {
     client_requests_.handle(request, std::move(respond));
@@ -116,7 +116,7 @@
     return counters_.text() + text.take();
 }
 
-// --- Grants of stores --------------------------------------------------------------------------------------
+// --- Grants pushed by stores ------------------------------------------------------------------------------
 
 void EdgeNode::serve(const Envelope& request, const Responder& respond) {
     if (request.kind != static_cast<std::uint16_t>(MessageKind::grant_push)) return;
@@ -137,14 +137,14 @@
     return answer;
 }
 
-// Of a store that does not own the partition by this edge's newer view.
+// Whether the grant comes from a store that does not own the partition in this edge's newer view.
 bool EdgeNode::isStale(const GrantPush& push, const Grant& grant) const {
     if (grant.epoch >= partitions_.epoch()) return false;
     const StoreMember* const owner = partitions_.owner(grant.partition);
     return !owner || owner->member.name != push.store;
 }
 
-// --- The planned end ---------------------------------------------------------------------------------------
+// --- Graceful shutdown ------------------------------------------------------------------------------------
 
 void EdgeNode::leave(std::function<void()> done) {
     if (leaving_) return;
--- a/src/cluster/edge/edge_node.hpp
+++ b/src/cluster/edge/edge_node.hpp
@@ -1,5 +1,6 @@
-// The data plane of one edge process: takes messages from clients, delivers what stores grant, reports, and
-// calls back. The program wires it to the core client, the HTTP servers and the HTTP client.
+// The data plane of one edge process: submits the messages of clients to stores, delivers granted messages,
+// reports results and sends call-backs. The program connects it to the core client, the HTTP servers and the
+// HTTP client.
 #pragma once
 
 #include <functional>
@@ -22,33 +23,35 @@
 
 class EdgeNode {
 public:
-    // `servers` reaches application servers and receivers of call-backs.
+    // `servers` sends requests to application servers and call-back receivers.
     EdgeNode(Scheduler& scheduler, Transport& transport, HttpClient& servers, const NodeSettings& settings,
              Incarnation incarnation);
 
-    // Serves grant_push on the transport and begins the heartbeats to the stores.
+    // Serves grant_push on the transport and starts the heartbeats to the stores.
     void start();
 
     void onView(std::shared_ptr<const StoreView> view);
     void onServers(std::shared_ptr<const ServerList> servers);
     void onConfiguration(std::shared_ptr<const Configuration> configuration);
-    // Answers a client that asks for the newest configuration (Front::onConfigurationRead).
+    // Sets the handler for clients that read the newest configuration
+    // (ClientRequestHandler::onConfigurationRead).
     void onConfigurationRead(std::function<void(HttpResponder)> read) {
         client_requests_.onConfigurationRead(std::move(read));
     }
-    // This dispatcher's place among those that share the servers' connections; a fall of their number counts
-    // only once it has lasted.
+    // Sets this edge's rank among the edges that share the servers' connections. A lower number of edges
+    // takes effect only after a delay.
     void setEdgeShare(EdgeShare share);
 
     void handleClientRequest(const HttpRequest& request, HttpResponder respond);
-    // 200 while this edge can take messages, else 503; GET /counters answers with countersText().
+    // Answers 200 while this edge can accept messages, else 503; GET /counters answers with countersText().
     void handleReadiness(const HttpRequest& request, HttpResponder respond);
     bool isReady() const;
 
-    // The planned end: `done` runs once the platform has noticed that this edge is not ready and everything
-    // open has its end and was reported, or a second before the grace is over.
+    // Begins the graceful shutdown. `done` runs once the platform has had time to see that this edge is not
+    // ready and all open work has ended and was reported, at the latest one second before the grace period
+    // ends.
     void leave(std::function<void()> done);
-    // Nothing is open: no request of a client, no delivery, no report.
+    // Whether no client request, delivery, call-back or report is open.
     bool isIdle() const;
 
     std::string countersText() const;
@@ -74,7 +77,8 @@
     std::shared_ptr<const Configuration> configuration_;
     std::shared_ptr<const ServerList> servers_;
     EdgeShare share_;
-    EdgeShare pending_share_{0, 0, 0};  // the one with the highest lower count since the fall
+    // Takes effect after the delay: the highest share below share_ seen since the number of edges fell.
+    EdgeShare pending_share_{0, 0, 0};
     TimerHandle share_drop_timer_;
     bool leaving_ = false;
     SteadyTime serve_until_{};
--- a/src/cluster/edge/held_grants.hpp
+++ b/src/cluster/edge/held_grants.hpp
@@ -1,5 +1,4 @@
-// What owners granted to this edge and have not yet taken a last report of: at most one attempt of each
-// message.
+// The grants of this edge whose last result no owner has acknowledged yet: at most one attempt per message.
 #pragma once
 
 #include <unordered_map>
@@ -23,14 +22,15 @@
 struct HeldGrant {
     std::uint64_t attempt = 0;
     Epoch epoch = 0;
-    bool callback_only = false;  // only the call-back is still to do; the owner knows of the run's end
+    // Only the call-back is left; the owner has acknowledged the result of the run.
+    bool callback_only = false;
 };
 
 class HeldGrants {
 public:
     enum class InsertResult { inserted, repeated, conflicting };
 
-    // repeated: this very attempt is known already. conflicting: another attempt of the message is.
+    // repeated: the same attempt is already held. conflicting: another attempt of the message is held.
     InsertResult insert(const Grant& grant);
     HeldGrant* find(const GrantKey& key);
     void erase(const GrantKey& key) { grants_.erase(key); }
--- a/src/cluster/edge/message_ref.hpp
+++ b/src/cluster/edge/message_ref.hpp
@@ -1,4 +1,4 @@
-// The name that a client gets for its message in Message-Ref: up to 64 letters, digits or "-_.".
+// Message references, returned to clients in the Message-Ref header: up to 64 letters, digits or "-_.".
 #pragma once
 
 #include <optional>
@@ -10,15 +10,15 @@
 namespace amberswitch::cluster {
 
 struct MessageRef {
-    std::optional<PartitionId> partition;  // nothing: a bare id; any partition may have it
+    std::optional<PartitionId> partition;  // nullopt for a bare id, which any partition may hold
     MessageId id;
 };
 
-// "p<partition>-<id>" where the id consists of letters, digits and "-_.", else "p<partition>.<hex of the
-// id>". Nothing where that is longer than 64 characters.
+// Returns "p<partition>-<id>" if the id consists of letters, digits and "-_.", else "p<partition>.<hex of the
+// id>". Returns nullopt if the reference would be longer than 64 characters.
 std::optional<std::string> formatMessageRef(PartitionId partition, std::string_view id);
 
-// Reads both forms; any other text is a bare id.
+// Parses both forms; any other text is a bare id.
 MessageRef parseMessageRef(std::string_view text);
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/message_submitter.cpp
+++ b/src/cluster/edge/message_submitter.cpp
@@ -11,13 +11,15 @@
 
 constexpr Millis kMinAcceptTimeout{150};
 constexpr Millis kMaxAcceptTimeout{1000};
-constexpr double kAcceptTimeoutPerTargetLatency = 2.5;  // in parts of the route's target latency
+constexpr double kAcceptTimeoutPerTargetLatency = 2.5;  // multiple of the route's target latency
 constexpr int kMaxTries = 3;
-constexpr int kOwnerWaitDivisor = 4;  // of the route's target latency, the part that may go into waiting
+// The longest wait for an owner is the route's target latency divided by this.
+constexpr int kOwnerWaitDivisor = 4;
 constexpr Millis kOwnerCheckInterval{10};
 constexpr Millis kMinRetryAfter{100};
 constexpr Millis kMaxRetryAfter{400};
-constexpr int kRetryAfterDivisor = 3;  // of the client's deadline: a few tries are spread over it
+// Retry-After is the client's deadline divided by this, so that a few attempts fit into the deadline.
+constexpr int kRetryAfterDivisor = 3;
 
 }  // namespace
 
@@ -64,7 +66,7 @@
     tryNextOwner(id);
 }
 
-// --- Tries -------------------------------------------------------------------------------------------------
+// --- Attempts at owners -----------------------------------------------------------------------------------
 
 void MessageSubmitter::tryNextOwner(SubmissionId id) {
     Submission& submission = submissions_.at(id);
@@ -76,7 +78,7 @@
     callOwner(id, submission, *partitions_.owner(submission.partition));
 }
 
-// False where no owner may be asked by the present view.
+// Returns false if the current view has no owner to ask.
 bool MessageSubmitter::choosePartition(Submission& submission) {
     if (partitions_.partitionCount() == 0) return false;
     if (!submission.content.ordered) {
@@ -107,7 +109,7 @@
     request.timeout_ms = submission.delivery_timeout.count();
     request.wants_grant =
         submission.content.delay_ms == 0 && deliveries_.wantsGrantFor(submission.content.service);
-    std::swap(request.content, submission.content);  // encoded without a copy of the body
+    std::swap(request.content, submission.content);  // avoids a copy of the body
     Envelope encoded = envelope(MessageKind::accept_message, request);
     std::swap(request.content, submission.content);
     const auto remaining = std::chrono::ceil<Millis>(submission.reply_deadline - submission.called_at);
@@ -128,8 +130,9 @@
     }
     partitions_.suspect(submission.owner);
     submission.may_be_stored = true;
-    // The connection broke: the owner is likely gone, and its message with it until its partition has a new
-    // owner. Order can't be kept that way.
+    // If the connection broke, the owner has probably died, and its copy of the message is out of reach until
+    // the partition has a new owner. An unordered message goes to another owner; for an ordered one this
+    // could break the order.
     const bool connection_lost = scheduler_.now() < submission.reply_deadline;
     if (connection_lost && !submission.content.ordered) return tryNextOwner(id);
     giveUp(id);
@@ -149,7 +152,7 @@
 }
 
 void MessageSubmitter::retry(SubmissionId id, Submission& submission) {
-    // A message of an earlier try may be stored: then only a clear "stored" helps.
+    // An earlier attempt may have stored the message; after that only a confirmation by the owner counts.
     if (submission.content.ordered && submission.may_be_stored) return giveUp(id);
     tryNextOwner(id);
 }
@@ -159,7 +162,7 @@
     submission.owner_wait_timer = scheduler_.after(kOwnerCheckInterval, [this, id] { tryNextOwner(id); });
 }
 
-// --- Ends --------------------------------------------------------------------------------------------------
+// --- Responses --------------------------------------------------------------------------------------------
 
 void MessageSubmitter::onStored(SubmissionId id, const AcceptMessageReply& reply) {
     ++counters_.accepted;
--- a/src/cluster/edge/message_submitter.hpp
+++ b/src/cluster/edge/message_submitter.hpp
@@ -1,5 +1,6 @@
-// Brings messages of clients to the owner of a partition and answers the client by what became of them. 503
-// promises that the message is surely nowhere; whatever may be stored without a clear answer gets 504.
+// Submits the messages of clients to the owner of a partition and answers the client accordingly. 503
+// guarantees that the message is not stored anywhere; 504 means that it may be stored but no owner confirmed
+// it.
 #pragma once
 
 #include <functional>
@@ -18,7 +19,7 @@
 
 namespace amberswitch::cluster {
 
-// 503 with Retry-After in seconds, as a fraction: the message is surely nowhere.
+// Returns a 503 response with Retry-After in fractional seconds: the request had no effect.
 HttpResponse serviceUnavailable(Millis owner_wait_timer = Millis(100));
 
 class MessageSubmitter {
@@ -26,10 +27,10 @@
     MessageSubmitter(Scheduler& scheduler, Transport& transport, PartitionMap& partitions,
                      Deliveries& deliveries, EdgeCounters& counters, EdgeIdentity self);
 
-    // `deadline`: how long the client waits, where it says so.
+    // `deadline`: how long the client waits, if it states this.
     void submit(MessageContent content, const Route& route, std::optional<Millis> deadline,
                 HttpResponder respond);
-    // Messages that have no answer yet.
+    // Messages that have not been answered yet.
     std::size_t openCount() const { return submissions_.size(); }
 
 private:
@@ -39,13 +40,13 @@
         std::uint32_t max_failures = 1;
         Millis delivery_timeout{0};
         HttpResponder respond;
-        SteadyTime reply_deadline{};       // for the owner's answer
-        SteadyTime owner_wait_deadline{};  // for waiting for another owner
+        SteadyTime reply_deadline{};       // latest time for the owner's answer
+        SteadyTime owner_wait_deadline{};  // latest time to wait for another owner
         SteadyTime called_at{};
-        Millis retry_after{100};  // advised with a 503
+        Millis retry_after{100};  // sent with a 503
         PartitionId partition = 0;
-        NodeAddress owner;  // of the last try
-        Epoch epoch = 0;    // of the view of the last try; 0 before the first one
+        NodeAddress owner;  // of the last attempt
+        Epoch epoch = 0;    // of the view at the last attempt; 0 before the first attempt
         std::set<NodeAddress> tried;
         int tries = 0;
         bool may_be_stored = false;
--- a/src/cluster/edge/module_timers.hpp
+++ b/src/cluster/edge/module_timers.hpp
@@ -1,5 +1,5 @@
-// The timers that one decision module asked for, on a single timer of the scheduler. Due times are rounded up
-// so that timers of many requests share a wake-up.
+// Runs the timers of one decision module on a single scheduler timer. Due times are rounded up so that the
+// timers of many requests share a wake-up.
 #pragma once
 
 #include <functional>
--- a/src/cluster/edge/partition_map.cpp
+++ b/src/cluster/edge/partition_map.cpp
@@ -49,7 +49,7 @@
         if (distance < nearest) candidates = 0;
         nearest = distance;
         ++candidates;
-        // Each of the equals seen so far is kept with the same chance.
+        // Reservoir sampling: every candidate seen so far is kept with equal probability.
         if (random() % candidates == 0) best = partition;
     }
     return best;
--- a/src/cluster/edge/partition_map.hpp
+++ b/src/cluster/edge/partition_map.hpp
@@ -1,4 +1,4 @@
-// The newest store view as an edge uses it: who owns a partition, and which owners lately did not answer.
+// The newest store view as used by an edge: the owner of each partition, and the owners suspected to be down.
 #pragma once
 
 #include <map>
@@ -17,36 +17,36 @@
 
 class PartitionMap {
 public:
-    // `zone`: where the edge stands.
+    // `zone`: the zone of the edge.
     PartitionMap(std::string zone, Topology topology)
         : zone_(std::move(zone)), topology_(std::move(topology)) {}
 
-    // Takes a newer view; false where it is not newer than the present one.
+    // Installs a newer view; returns false if it is not newer than the current one.
     bool update(std::shared_ptr<const StoreView> view);
 
-    // Of the present view; 0 before the first one.
+    // The epoch of the current view; 0 before the first one.
     Epoch epoch() const { return view_ ? view_->epoch : 0; }
     std::size_t partitionCount() const { return view_ ? view_->partitions.size() : 0; }
-    // Null where no live store owns the partition.
+    // Returns null if no live store owns the partition.
     const StoreMember* owner(PartitionId partition) const;
     std::vector<const StoreMember*> aliveStores() const;
     Distance distanceTo(const StoreMember& store) const {
         return topology_.distanceBetween(zone_, store.member.zone);
     }
 
-    // The partition of everything with this order key on this route. Needs partitions() above 0.
+    // Returns the partition of all messages with this order key on this route. Requires partitionCount() > 0.
     PartitionId partitionOfKey(std::string_view order_scope, std::string_view order_key) const;
-    // A random partition among those with the nearest owners that are neither suspected nor among `tried`.
-    // Nothing where there is none.
+    // Returns a random partition among those with the nearest owners that are neither suspected nor in
+    // `tried`, or nullopt if there is none.
     std::optional<PartitionId> pickPartition(std::mt19937_64& random,
                                              const std::set<NodeAddress>& tried) const;
 
-    // An owner that refused, broke its connection or did not answer gets nothing until it answers again
-    // (OwnerLinks asks it).
+    // A store that refused a connection, broke it or did not answer is suspected and gets no messages until
+    // it answers again (StoreHeartbeats probes it).
     void suspect(const NodeAddress& owner) { suspected_.insert(owner); }
     void clearSuspicion(const NodeAddress& owner) { suspected_.erase(owner); }
     bool isSuspected(const NodeAddress& owner) const { return suspected_.contains(owner); }
-    // Whether some partition has an owner that is not suspected.
+    // Whether at least one partition has an owner that is not suspected.
     bool hasUsableOwner() const;
 
 private:
--- a/src/cluster/edge/queries.cpp
+++ b/src/cluster/edge/queries.cpp
@@ -81,7 +81,7 @@
         for (PartitionId partition = 0; partition < partitions; ++partition)
             query.unanswered.push_back(partition);
     }
-    // A partition that no view has: nothing was ever stored there.
+    // Partitions beyond the view's count do not exist, so nothing is stored there.
     if (partitions > 0) std::erase_if(query.unanswered, [&](PartitionId each) { return each >= partitions; });
     const MessageKind kind = query.kind == Kind::state ? MessageKind::state_query : MessageKind::body_query;
     const auto remaining = std::chrono::ceil<Millis>(query.deadline - scheduler_.now());
@@ -98,7 +98,7 @@
 
 void Queries::onReply(QueryId id, PartitionId partition, const CallResult& result) {
     const auto at = queries_.find(id);
-    if (at == queries_.end()) return;  // another partition had it
+    if (at == queries_.end()) return;  // another partition already answered
     Query& query = at->second;
     --query.open_calls;
     std::optional<StateReply> reply;
--- a/src/cluster/edge/queries.hpp
+++ b/src/cluster/edge/queries.hpp
@@ -1,4 +1,4 @@
-// Answers clients who ask for the state or the body of a message, by asking the owner of its partition.
+// Answers client queries for the state or the body of a message by asking the owner of its partition.
 #pragma once
 
 #include <unordered_map>
@@ -21,7 +21,7 @@
     Queries(Scheduler& scheduler, Transport& transport, const PartitionMap& partitions,
             EdgeCounters& counters);
 
-    // 200, 404 where no partition has the message, or 503 where its owner could not be asked in time.
+    // Answers 200, 404 if no partition has the message, or 503 if an owner did not answer in time.
     void ask(Kind kind, const MessageRef& ref, HttpResponder respond);
     std::size_t openCount() const { return queries_.size(); }
 
@@ -32,9 +32,9 @@
         MessageId id;
         HttpResponder respond;
         SteadyTime deadline{};
-        std::vector<PartitionId> unanswered;  // partitions that have not answered
-        std::size_t open_calls = 0;           // calls of this round
-        bool ask_every_partition = false;     // a bare id
+        std::vector<PartitionId> unanswered;  // partitions whose owner has not given a definite answer
+        std::size_t open_calls = 0;           // calls of the current round without an answer
+        bool ask_every_partition = false;     // for a bare id, until the partitions are known
         TimerHandle retry;
     };
 
--- a/src/cluster/edge/run_reports.cpp
+++ b/src/cluster/edge/run_reports.cpp
@@ -87,7 +87,7 @@
 }
 
 void RunReports::armRetry() {
-    // A result whose owner is busy goes out when that call ends; only failed ones need the timer.
+    // Results for an owner with an open call are sent when that call ends; only failed ones need the timer.
     if (pending_.empty()) {
         retry_timer_.reset();
     } else if (!retry_timer_) {
--- a/src/cluster/edge/run_reports.hpp
+++ b/src/cluster/edge/run_reports.hpp
@@ -1,5 +1,6 @@
-// Tells owners how runs ended. Results are kept until the owner of the partition, by the newest view, has
-// taken them. At most one call to an owner is open; what comes meanwhile forms the next one.
+// Reports the results of runs to the owners of partitions. A result is kept until the owner according to the
+// newest view has acknowledged it. At most one call per owner is open; results added meanwhile form the next
+// batch.
 #pragma once
 
 #include <deque>
@@ -18,16 +19,16 @@
     using SendFilter = std::function<bool(const RunResult&)>;
     using AcknowledgedHandler = std::function<void(const RunResult&)>;
 
-    // `edge` and `address` name this edge in each report; `taken` is told of every result that an owner took.
-    // A result that `may_send` rejects waits until it no longer does.
+    // `edge` and `address` identify this edge in each report; `on_acknowledged` is called for every result
+    // that an owner acknowledged. A result stays queued while `may_send` returns false for it.
     RunReports(Scheduler& scheduler, Transport& transport, const PartitionMap& partitions,
                EdgeCounters& counters, std::string edge, NodeAddress address, SendFilter may_send,
                AcknowledgedHandler on_acknowledged);
 
     void add(RunResult result);
-    // A newer view: results that waited for an owner go out at once.
+    // Handles a newer view: results that waited for a retry are sent at once.
     void onView();
-    // Results that no owner has taken yet.
+    // Results that no owner has acknowledged yet.
     std::size_t pending() const { return pending_.size() + in_flight_; }
 
 private:
--- a/src/cluster/edge/server_subset.cpp
+++ b/src/cluster/edge/server_subset.cpp
@@ -6,12 +6,12 @@
 namespace amberswitch::cluster {
 namespace {
 
-// Parts of the connections that a server takes.
+// Fractions of a server's connection limit.
 constexpr double kAllServersShare = 0.9;  // the rest is a reserve
 constexpr double kMaxRegionShare = 0.75;
 constexpr double kPlannedRegionShare = 0.5;
 constexpr double kMaxRemoteShare = 0.25;
-constexpr std::uint64_t kMinServers = 2;  // of a subset: one may fail
+constexpr std::uint64_t kMinServers = 2;  // in a subset, so that one may fail
 constexpr std::uint64_t kRemoteServers = 1;
 
 using Indices = std::vector<std::size_t>;
@@ -29,19 +29,21 @@
     return static_cast<std::uint64_t>(share_of_connections * max_connections);
 }
 
-// How many of the servers each dispatcher may choose, so that no server is chosen by more than `most`.
+// Returns the number of servers each edge may choose so that at most `max_edges_per_server` edges choose the
+// same server.
 std::uint64_t subsetSize(std::uint64_t servers, std::uint64_t max_edges_per_server, std::uint64_t edges) {
     return std::min(servers, servers * max_edges_per_server / edges);
 }
 
-// The part of a dispatcher in the ring of servers; each is chosen as often as any other, give or take one.
+// Chooses the edge's section of the ring of servers. Over all edges, the numbers of times that servers are
+// chosen differ by at most one.
 void chooseFromRing(const Indices& ring, std::uint64_t size, const EdgeShare& share,
                     std::vector<bool>& chosen) {
     const std::uint64_t first = share.region_rank * ring.size() / share.region_edges;
     for (std::uint64_t i = 0; i < size; ++i) chosen[ring[(first + i) % ring.size()]] = true;
 }
 
-// Fewer connections than dispatchers: as many of these as there are connections get one, evenly spread.
+// For fewer connections than edges: as many edges as there are connections get one each, evenly spread.
 void chooseForSomeEdges(const Indices& ring, std::uint64_t connections, const EdgeShare& share,
                         std::vector<bool>& chosen) {
     const std::uint64_t rank = share.region_rank;
@@ -50,7 +52,7 @@
     if (has_one) chooseFromRing(ring, 1, share, chosen);
 }
 
-// The dispatchers of each region have their part, by their number, of what is left to those from beyond.
+// The connections reserved for edges of other regions are divided among the regions by their number of edges.
 void chooseFromOtherRegions(const Indices& ring, std::uint64_t wanted, std::uint32_t max_connections,
                             const EdgeShare& share, std::vector<bool>& chosen) {
     const std::uint64_t remote_connections = connectionsFor(max_connections, kMaxRemoteShare);
--- a/src/cluster/edge/server_subset.hpp
+++ b/src/cluster/edge/server_subset.hpp
@@ -1,6 +1,6 @@
-// Which of a service's servers a dispatcher may connect to where all dispatchers together could exceed what a
-// server takes. Every dispatcher computes its own part from the same list and its place among the
-// dispatchers; no messages are needed. Pure logic.
+// Chooses the servers of a service that an edge may connect to when all edges together could exceed a
+// server's connection limit. Every edge computes its own subset from the same server list and its rank among
+// the edges, without communication. Has no side effects.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +18,18 @@
 };
 
 struct ServerSubset {
-    std::vector<bool> chosen;                  // by server, as given
-    std::uint32_t connections_per_server = 1;  // to each chosen one
+    std::vector<bool> chosen;                  // by server, in the given order
+    std::uint32_t connections_per_server = 1;  // to each chosen server
 };
 
-// `zone`: of the dispatcher; `max_connections`: of each server, from all dispatchers together.
+// `zone`: the zone of the edge; `max_connections`: the limit of each server for all edges together.
 //
-// Where there are no more dispatchers than that, each may use all servers. Else the dispatchers of a region
-// share its servers: three quarters of the connections are theirs. Half is planned with, where that gives
-// everybody two servers: connections of dispatchers that lost power stand at the servers for a while, beside
-// those of the processes that follow them. The last quarter is for one server beyond the own region, in case
-// that its own are bad, and for dispatchers in whose region there is none.
+// If there are no more edges than `max_connections`, each edge may use all servers. Otherwise the edges of a
+// region share its servers and may use up to three quarters of the connections. Subsets are sized for half of
+// the connections, as long as every edge still gets two servers: after a power loss the servers hold the
+// connections of dead edges for a while, in addition to those of their replacements. The last quarter is for
+// edges of other regions: each edge gets one server outside its region, in case those of its own region fail,
+// and edges whose region has no servers use it as well.
 ServerSubset chooseServers(const std::vector<ServerLocation>& servers, const Topology& topology,
                            const std::string& zone, std::uint32_t max_connections, EdgeShare share);
 
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -15,16 +15,18 @@
 using heronmount::Standing;
 using heronmount::Worker;
 
-constexpr std::uint32_t kMaxSends = 3;            // inside one grant, all but the last surely not run
-constexpr Millis kAnswerGrace{100};               // the server itself answers 504 at its Deadline-Ms
-constexpr Millis kMaxQueueTime{1000};             // for a free connection, before the grant goes back
-constexpr double kEndpointConnectionShare = 0.9;  // of what an endpoint takes; the rest is a reserve
-constexpr std::chrono::seconds kWarmUp{3};        // over which a cold server's share grows
-// A server in another zone is taken once those of the own zone hold about one more message of this edge.
+constexpr std::uint32_t kMaxSends = 3;  // per grant; all but the last are certain not to have run
+constexpr Millis kAnswerGrace{100};     // the server itself answers 504 when its Deadline-Ms expires
+// Longest wait for a free connection before the grant goes back to its owner.
+constexpr Millis kMaxQueueTime{1000};
+constexpr double kEndpointConnectionShare = 0.9;  // of an endpoint's connection limit; the rest is a reserve
+constexpr std::chrono::seconds kWarmUp{3};        // time over which the share of a cold server grows
+// With this cost, a server in another zone is chosen once the servers of the edge's own zone each hold about
+// one more message of this edge.
 constexpr double kCrossZoneCost = 0.03;
-// What the way to another region costs, in parts of the above.
+// Multiplies the cross-zone cost for servers in another region.
 constexpr double kCrossRegionFactor = 4;
-constexpr double kRebuildRatio = 1.5;  // change of the number of dispatchers
+constexpr double kRebuildRatio = 1.5;  // change of the number of edges that makes the module be rebuilt
 
 std::uint64_t hashOf(std::string_view text) {
     return XXH64(text.data(), text.size(), 0);
@@ -47,7 +49,7 @@
     zoneIndex(zone_);
 }
 
-// --- Settings and servers ----------------------------------------------------------------------------------
+// --- Settings and servers ---------------------------------------------------------------------------------
 
 void ServiceDispatcher::setService(const Service& service, Millis schedule_target, EdgeShare share) {
     service_ = service;
@@ -72,8 +74,8 @@
     heronmount::ClassSettings messages;
     messages.goal = schedule_target_;
     messages.giveUp = std::chrono::seconds(60);
-    // Attempts that may have run are told as settled, so that none is repeated inside a grant; this kind lets
-    // a server that failed come back with a single trial.
+    // Attempts that may have run are reported as settled, so that none is repeated within a grant. `keyed`
+    // lets a server that failed return after a single trial request.
     messages.effect = heronmount::Effect::keyed;
     messages.group = heronmount::Group::all;
     messages.window = messages.giveUp;
@@ -83,11 +85,11 @@
     settings.me = static_cast<std::uint32_t>(hashOf(edge_) % share_.edges);
     settings.maxAttempts = module_attempts_;
     settings.weights = heronmount::Weights::nominal;
-    settings.handshakePrice = 1;  // connections are kept
+    settings.handshakePrice = 1;  // connections are kept alive
     settings.crossZonePrice = kCrossZoneCost;
-    // No budget for cold servers: these queue and refuse what they can't take, and a budget that is drawn
-    // from what this edge was served lately would hold everything back where all servers of a service start
-    // at once.
+    // No budget for cold servers: they queue requests and refuse what they cannot take, and a budget derived
+    // from the recent throughput of this edge would block all requests when all servers of a service start at
+    // once.
     settings.cold = heronmount::Nanos(0);
     return settings;
 }
@@ -145,10 +147,10 @@
     startQueued();
 }
 
-// The servers that are not draining, or this dispatcher's part of them.
+// Returns the uids of the servers that are not draining, restricted to this edge's subset.
 std::set<std::string> ServiceDispatcher::chooseUsable(const std::vector<const ServerEntry*>& listed) {
     if (service_.endpoint) {
-        // Its owners choose the few dispatchers that connect to it, and may choose any.
+        // Partition owners choose the few edges that connect to a static endpoint, and may choose any edge.
         const double each = kEndpointConnectionShare * service_.max_connections / share_.edges;
         connections_per_server_ = std::max<std::uint32_t>(1, static_cast<std::uint32_t>(each));
         available_servers_ = 1;
@@ -209,7 +211,7 @@
     return !service_.endpoint || http_.connectionsTo(*service_.endpoint) > 0;
 }
 
-// --- Deliveries --------------------------------------------------------------------------------------------
+// --- Deliveries -------------------------------------------------------------------------------------------
 
 void ServiceDispatcher::start(Grant grant) {
     const RequestId id = ++last_id_;
@@ -276,7 +278,7 @@
 void ServiceDispatcher::handBack(const std::vector<RequestId>& waiting, const DeliveryResult& result) {
     if (waiting.empty()) return;
     for (const RequestId id : waiting) {
-        // What the module is told of one may move another on.
+        // Notifying the module of one delivery may have started or finished another.
         const auto found = deliveries_.find(id);
         if (found == deliveries_.end() || found->second.in_flight) continue;
         if (found->second.known_to_module) notifyModule(heronmount::ClientLeft{id});
@@ -286,7 +288,7 @@
     startQueued();
 }
 
-// --- The module --------------------------------------------------------------------------------------------
+// --- Decision module --------------------------------------------------------------------------------------
 
 void ServiceDispatcher::notifyModule(heronmount::Event event) {
     pending_events_.push_back(std::move(event));
@@ -325,7 +327,7 @@
     if (server.usable && has_connection && follows_configuration_(delivery.grant))
         return post(action.id, delivery, action.worker);
     if (server.usable && !has_connection) ++counters_.no_free_connection;
-    delivery.all_unreachable = false;  // nothing was tried
+    delivery.all_unreachable = false;  // no connection was attempted
     heronmount::AttemptEnded ended;
     ended.id = action.id;
     ended.attempt = attempt;
@@ -396,7 +398,7 @@
     startQueued();
 }
 
-// The module sends it nowhere any more.
+// The module has given up the request.
 void ServiceDispatcher::onGivenUp(RequestId id) {
     const auto found = deliveries_.find(id);
     if (found == deliveries_.end()) return;
@@ -420,7 +422,7 @@
     on_finished_(std::move(grant), std::move(result));
 }
 
-// --- Counters ----------------------------------------------------------------------------------------------
+// --- Counters ---------------------------------------------------------------------------------------------
 
 void ServiceDispatcher::count(const HttpOutcome& outcome, const DeliveryAnswer& answer) {
     if (outcome.verdict == CallStatus::answered) {
--- a/src/cluster/edge/service_dispatcher.hpp
+++ b/src/cluster/edge/service_dispatcher.hpp
@@ -1,6 +1,6 @@
 // Delivers the granted attempts of one service. The decision module (heronmount) picks the server of each
-// send; this class feeds it, carries out what it asks for and keeps to the promise of a grant: one attempt
-// that may have run.
+// send; this class passes events to it, executes its actions and enforces the rule of a grant: at most one
+// attempt that may have run.
 #pragma once
 
 #include <deque>
@@ -33,37 +33,38 @@
 
 class ServiceDispatcher {
 public:
-    // Told once for each grant, possibly before begin() returns.
+    // Called once for each grant, possibly before start() returns.
     using FinishedHandler = std::function<void(Grant grant, DeliveryResult result)>;
 
-    // Whether the newest configuration sends that message to this service.
+    // Whether the newest configuration routes the message of the grant to this service.
     using RouteCheck = std::function<bool(const Grant& grant)>;
 
-    // `edge` and `zone` are those of this process.
+    // `edge` and `zone`: the name and the zone of this process.
     ServiceDispatcher(Scheduler& scheduler, HttpClient& servers, EdgeCounters& counters, std::string edge,
                       std::string zone, Topology topology, RouteCheck follows_configuration,
                       FinishedHandler on_finished);
 
-    // The service as the newest configuration has it; `schedule_target`: of a route that leads to it.
-    // `share`: of this dispatcher among those that share its servers. setServers() is to follow.
+    // Applies the service's settings in the newest configuration. `schedule_target`: of a route to the
+    // service; `share`: of this edge among those that share the servers. The caller calls setServers()
+    // afterwards.
     void setService(const Service& service, Millis schedule_target, EdgeShare share);
-    // The servers that are listed for this service now; ignored where the service has an endpoint of its own.
+    // Sets the currently listed servers of the service; ignored if the service has a static endpoint.
     void setServers(const std::vector<const ServerEntry*>& listed);
 
     void start(Grant grant);
-    // Gives up all attempts that have not begun, as not_run.
+    // Ends all deliveries without an attempt in flight as not_run.
     void handBackWaiting();
-    // The same for those of messages that the newest configuration sends to another service, or nowhere.
+    // Does the same for messages that the newest configuration routes to another service or to none.
     void handBackMisdirected();
-    // Grants that have no result yet.
+    // Grants without a result.
     std::size_t openCount() const { return deliveries_.size(); }
     bool hasServer() const { return usable_servers_ > 0; }
-    // False for an endpoint to which no connection is open.
+    // Returns false for a static endpoint to which no connection is open.
     bool isConnected() const;
 
 private:
     struct Server {
-        std::string uid;  // empty: the service's own endpoint
+        std::string uid;  // empty for the service's static endpoint
         NodeAddress address;
         bool usable = false;
         std::uint32_t in_flight = 0;
@@ -71,12 +72,12 @@
     };
     struct Delivery {
         Grant grant;
-        bool known_to_module = false;  // the module knows it
+        bool known_to_module = false;
         bool in_flight = false;
-        bool given_up = false;  // by the module, while an attempt is out
+        bool given_up = false;  // by the module, while an attempt is in flight
         bool all_unreachable = true;
         bool may_have_run = false;
-        std::uint32_t sends = 0;  // that the module asked for
+        std::uint32_t sends = 0;  // requested by the module
         SteadyTime sent_at{};
         SteadyTime queued_until{};
     };
@@ -117,29 +118,29 @@
     Service service_;
     Millis schedule_target_{1000};
     EdgeShare share_;
-    std::uint32_t connections_per_server_ = 1;  // to each server that is on
+    std::uint32_t connections_per_server_ = 1;  // to each usable server
 
     std::unique_ptr<heronmount::Dispatcher> module_;
-    std::uint64_t module_generation_ = 0;  // counts rebuilds
-    std::uint32_t module_edges_ = 0;       // that it was built with
+    std::uint64_t module_generation_ = 0;  // incremented by each rebuild
+    std::uint32_t module_edges_ = 0;       // the number of edges that module_ was built with
     std::uint32_t module_attempts_ = 0;
     ModuleTimers module_timers_;
     std::deque<heronmount::Event> pending_events_;
     std::vector<heronmount::Action> actions_;
     bool processing_events_ = false;
 
-    std::vector<Server> servers_;  // by handle; those that are gone stay as `off`
+    std::vector<Server> servers_;  // by handle; servers no longer listed stay, as Standing::off
     std::unordered_map<std::string, heronmount::Worker> handles_;
     std::unordered_map<std::string, int> zones_;
     std::size_t usable_servers_ = 0;
-    std::size_t available_servers_ =
-        0;  // listed and not draining, whether this dispatcher may use them or not
+    // Listed and not draining, including those outside this edge's subset.
+    std::size_t available_servers_ = 0;
 
     std::unordered_map<heronmount::RequestId, Delivery> deliveries_;
-    std::deque<heronmount::RequestId> queued_;  // wait for a free connection, unknown to the module
+    std::deque<heronmount::RequestId> queued_;  // waiting for a free connection, not known to the module
     TimerHandle queue_timer_;
     heronmount::RequestId last_id_ = 0;
-    std::size_t requests_in_module_ = 0;  // deliveries that the module knows
+    std::size_t requests_in_module_ = 0;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/store_heartbeats.cpp
+++ b/src/cluster/edge/store_heartbeats.cpp
@@ -28,7 +28,7 @@
 }
 
 void StoreHeartbeats::onView() {
-    heartbeat_count_ = 0;  // every store is to hear of the new view
+    heartbeat_count_ = 0;  // so that every store learns of the new view
     syncAll();
 }
 
@@ -70,7 +70,7 @@
     return partitions_.distanceTo(store) == Distance::other_region;
 }
 
-// Stores of other regions give their runs to nearer dispatchers while there are any.
+// Stores of other regions grant to nearer edges as long as there are any, so they need fewer heartbeats.
 bool StoreHeartbeats::skipsThisHeartbeat(const StoreMember& store) const {
     return isFar(store) && !leaving_ && heartbeat_count_ % kRemoteIdleHeartbeatFactor != 0;
 }
--- a/src/cluster/edge/store_heartbeats.hpp
+++ b/src/cluster/edge/store_heartbeats.hpp
@@ -1,5 +1,5 @@
-// Tells every live store what this edge runs: at once for each new view, and as a heartbeat
-// (edge_heartbeat.hpp).
+// Sends every live store the attempts that run on this edge: immediately for each new view, and periodically
+// as a heartbeat (edge_heartbeat.hpp).
 #pragma once
 
 #include <functional>
@@ -19,20 +19,20 @@
 
     void start();
     void onView();
-    // From now on each sync says that nothing more is to be granted to this edge.
+    // From now on, each sync tells the stores to grant nothing more to this edge.
     void leave();
 
 private:
     void syncAll();
-    // Asks the stores that did not answer lately whether they are back.
+    // Probes the suspected stores to find out whether they answer again.
     void syncSuspected();
     EdgeSync makeSync() const;
     Envelope syncFor(const StoreMember& store, EdgeSync sync) const;
     bool isFar(const StoreMember& store) const;
     bool skipsThisHeartbeat(const StoreMember& store) const;
-    // Until the next sync that this store surely gets.
+    // The longest time until the store gets its next sync.
     Millis nextSyncWithin(const StoreMember& store) const;
-    // Whether something of a partition of that store runs here.
+    // Whether a message of one of the store's partitions runs here.
     bool hasRunsFor(const StoreMember& store, const EdgeSync& sync) const;
     void send(const NodeAddress& store, const Envelope& request);
 
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -1,4 +1,5 @@
-// Near before far: which owner an edge asks, which stores hold copies, which edge is granted a run.
+// Tests choices by distance: the owner an edge asks, the stores that hold copies, and the edge that is
+// granted a run.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -30,7 +31,7 @@
     return Topology({{"east-a", "east"}, {"east-b", "east"}, {"west-a", "west"}});
 }
 
-// A drawn deployment: regions, zones in them, stores in those, and partitions owned by drawn stores.
+// A random deployment: regions with zones, zones with stores, and partitions owned by random stores.
 struct DrawnDeployment {
     explicit DrawnDeployment(std::uint64_t seed) : random(seed) {
         std::map<std::string, std::string> region_of_zone;
@@ -77,7 +78,7 @@
 
 }  // namespace
 
-TEST_CASE("the own zone is nearer than its region, and that one nearer than another region") {
+TEST_CASE("the same zone is nearer than the same region, which is nearer than another region") {
     const Topology topology = twoRegions();
     CHECK(topology.distanceBetween("east-a", "east-a") == Distance::same_zone);
     CHECK(topology.distanceBetween("east-a", "east-b") == Distance::same_region);
@@ -93,7 +94,7 @@
     CHECK(twoRegions().distanceBetween("east-a", "nowhere") == Distance::other_region);
 }
 
-TEST_CASE("an edge asks one of the nearest owners, and farther ones only where no nearer one is left") {
+TEST_CASE("an edge asks one of the nearest owners, and farther ones only if no nearer one is left") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
         DrawnDeployment drawn(seed);
@@ -117,7 +118,8 @@
     }
 }
 
-TEST_CASE("copies go to the nearest stores that keep copies, and a store that leaves moves only its own") {
+TEST_CASE(
+    "copies go to the nearest stores that keep copies, and a store that leaves moves only its own copies") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
         DrawnDeployment drawn(seed);
@@ -168,7 +170,7 @@
 constexpr int kManyEdges = 60;
 constexpr std::size_t kSenders = 8;
 
-// Of a store in that zone, which knows edges in three zones of two regions.
+// The edges known to a store in `zone`: kManyEdges edges in three zones of two regions.
 Edges manyEdges(const std::string& zone, std::uint64_t seed) {
     Edges edges(zone, twoRegions(), seed);
     const std::vector<std::string> zones{"east-a", "east-b", "west-a"};
@@ -180,7 +182,7 @@
     return edges;
 }
 
-// Those that the store chooses for as many call-backs that are all under way.
+// Returns the senders that the store chooses for `callbacks` call-backs that are all in progress.
 std::set<std::string> sendersOf(Edges& edges, const std::string& receiver, std::size_t callbacks) {
     std::vector<QueueItem> items(callbacks);
     std::set<std::string> senders;
@@ -205,7 +207,7 @@
     CHECK(sendersOf(east, "10.9.0.2:80", 3 * kSenders) != senders);
 }
 
-TEST_CASE("a call-back goes to the nearest sender that is as free as the others") {
+TEST_CASE("a call-back goes to the nearest of the equally loaded senders") {
     Edges edges = manyEdges("east-a", 1);
     const std::set<std::string> senders = sendersOf(edges, "10.9.0.1:80", kSenders);
     const auto distanceOf = [&](const std::string& name) {
@@ -218,7 +220,7 @@
     }
 }
 
-TEST_CASE("senders that have gone are replaced, those that may take nothing are not used") {
+TEST_CASE("senders that have left are replaced, and unusable ones are not used") {
     Edges edges = manyEdges("east-a", 1);
     const std::set<std::string> before = sendersOf(edges, "10.9.0.1:80", 3 * kSenders);
     edges.find(*before.begin())->usable = false;
@@ -233,7 +235,7 @@
     CHECK_FALSE(after.contains(edges.chooseSender("10.9.0.1:80", kSenders, kNow)->name));
 }
 
-TEST_CASE("at most half of a receiver's connections are planned with where edges are many") {
+TEST_CASE("with many edges, at most half of a receiver's connections are planned for use") {
     CHECK(planCallbacks(8).all_send);
     CHECK(planCallbacks(8).connections_per_sender == 8);
     CHECK(planCallbacks(20).connections_per_sender == 3);
@@ -264,7 +266,7 @@
     CHECK(text.find("traffic_accept_message_other_region_bytes 455\n") != std::string::npos);
 }
 
-TEST_CASE("copies are spread over zones and regions as far as these may be lost, and near otherwise") {
+TEST_CASE("copies are spread over as many zones and regions as may be lost, and near otherwise") {
     int spread = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         CAPTURE(seed);
@@ -294,7 +296,7 @@
     CHECK(spread > 100);
 }
 
-TEST_CASE("a loss of one zone is borne where the settings ask for it, and not otherwise") {
+TEST_CASE("the loss of one zone is tolerated only if the settings ask for it") {
     const Topology topology = twoRegions();
     const SpreadRule zones(FaultTolerance{1, 1, 0}, topology);
     CHECK_FALSE(zones.isSpread({"east-a"}));
--- a/tests/cluster/edge_accept_test.cpp
+++ b/tests/cluster/edge_accept_test.cpp
@@ -1,4 +1,4 @@
-// What clients are answered: accepts, refusals and questions about messages.
+// Tests the responses to clients: accepted messages, refusals and message queries.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 using namespace amberswitch::cluster;
 using namespace amberswitch::cluster::edge_test;
 
-TEST_CASE("a stored message gets 202 with a reference that finds it again") {
+TEST_CASE("a stored message gets 202 with a reference that identifies it") {
     EdgeWorld world;
     world.provideAll();
     const auto response = world.responseTo(world.request("/plain/x", "id-1"));
@@ -36,7 +36,7 @@
     CHECK(formatMessageRef(3, std::string(61, 'a'))->size() == 64);
 }
 
-TEST_CASE("what is no message of a route is refused by its fault") {
+TEST_CASE("requests that are not valid messages of a route are refused with the matching status") {
     EdgeWorld world;
     CHECK(world.statusOf(world.request("/plain/x", "early")) == 503);
     world.provideAll();
@@ -54,7 +54,7 @@
     CHECK(world.acceptRequestCount() == 0);
 }
 
-TEST_CASE("the message reaches the owner exactly as it came, with its route's terms") {
+TEST_CASE("the message reaches the owner unchanged, with the settings of its route") {
     EdgeWorld world;
     world.provideAll();
     const HttpHeaders more = {
@@ -81,7 +81,7 @@
     CHECK(asked->epoch == 1);
 }
 
-TEST_CASE("a message for an endpoint is run here only if a connection is open") {
+TEST_CASE("an edge asks for the grant of a message for a static endpoint only if it has an open connection") {
     EdgeWorld world;
     world.provideAll();
     const auto wanted = [&world](const std::string& id) {
@@ -98,7 +98,7 @@
     CHECK(wanted("id-2"));
 }
 
-TEST_CASE("unordered messages go to owners in the own zone, ordered ones by their key") {
+TEST_CASE("unordered messages go to owners in the edge's zone, ordered ones by their key") {
     EdgeWorld world;
     world.provideAll();
     for (int i = 0; i < 20; ++i) {
@@ -135,7 +135,7 @@
     CHECK_FALSE(world.stores[0]->accepts[0].content.ordered);
 }
 
-TEST_CASE("an unordered message that is surely nowhere goes to other owners, each once") {
+TEST_CASE("an unordered message that is certainly not stored goes to other owners, each once") {
     EdgeWorld world;
     world.provideAll();
     SUBCASE("refused") {
@@ -151,7 +151,7 @@
     CHECK(world.stores[1]->accepts.size() + world.stores[2]->accepts.size() == 1);
 }
 
-TEST_CASE("where all owners refuse, the client gets 503 at once with a time to come back") {
+TEST_CASE("if all owners refuse, the client gets 503 at once with Retry-After") {
     EdgeWorld world;
     world.provideAll();
     world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
@@ -162,7 +162,7 @@
     for (const auto& store : world.stores) CHECK(store->accepts.size() == 1);
 }
 
-TEST_CASE("an ordered message waits shortly for another owner, then gets 503") {
+TEST_CASE("an ordered message waits briefly for another owner, then gets 503") {
     EdgeWorld world;
     world.provideAll();
     world.replyToAccepts({AcceptStatus::not_owner, false, 0, 0});
@@ -192,7 +192,7 @@
     CHECK(response->status == 202);
 }
 
-TEST_CASE("what may be stored without a clear answer gets 504, never 503") {
+TEST_CASE("a message that may be stored gets 504, never 503") {
     EdgeWorld world;
     world.provideAll();
     SUBCASE("the owner does not know") {
@@ -200,21 +200,21 @@
         CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 504);
         CHECK(world.acceptRequestCount() == 1);
     }
-    SUBCASE("silence, until the client's deadline") {
+    SUBCASE("no answer until the client's deadline") {
         for (auto& store : world.stores) store->answers_accepts = false;
         const SteadyTime start = world.world.now();
         CHECK(world.statusOf(world.request("/plain/x", "id-1", {{"Deadline-Ms", "300"}})) == 504);
         CHECK(world.world.now() - start == Millis(300));
         CHECK(world.acceptRequestCount() == 1);
     }
-    SUBCASE("silence, for two and a half times the target, within bounds") {
+    SUBCASE("no answer for two and a half times the target latency, within bounds") {
         for (auto& store : world.stores) store->answers_accepts = false;
         const auto answerDelay = [&](const std::string& id, Millis target) {
             auto changed = std::make_shared<Configuration>(*edge_test::configuration());
             for (Route& route : changed->routes) route.target_latency = target;
             changed->buildIndexes();
             world.edge->onConfiguration(changed);
-            world.world.run(Millis(1200));  // heartbeats clear the owners of suspicion
+            world.world.run(Millis(1200));  // until heartbeats clear the suspicion of the owners
             const SteadyTime start = world.world.now();
             CHECK(world.statusOf(world.request("/ordered/x", id, {{"Order-Key", "k"}})) == 504);
             return world.world.now() - start;
@@ -227,7 +227,8 @@
 
 namespace {
 
-// Breaks the first call instead of carrying it, as a connection that ends under a request does.
+// Ends the first accept calls as unknown instead of carrying them, like a connection that breaks during a
+// request.
 class BreakingTransport : public Transport {
 public:
     BreakingTransport(World& world, Transport& below) : world_(world), below_(below) {}
@@ -274,7 +275,8 @@
     CHECK(fixture.world.acceptRequestCount() == 1);
 }
 
-TEST_CASE("a refusal after a broken connection is no promise: 504") {
+TEST_CASE(
+    "a refusal after a broken connection gives 504, since the first owner may have stored the message") {
     BreakingEdge fixture;
     fixture.breaking_transport.connections_to_break = 1;
     fixture.world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
@@ -288,7 +290,7 @@
     CHECK(fixture.world.acceptRequestCount() == 0);
 }
 
-TEST_CASE("more open accepts than the bound are turned away at once") {
+TEST_CASE("messages above the limit of open submissions get 503 at once") {
     EdgeWorld world;
     world.provideAll();
     for (auto& store : world.stores) store->answers_accepts = false;
@@ -337,7 +339,7 @@
     }
 }
 
-TEST_CASE("a question waits for a new owner, and is given up before the asker leaves") {
+TEST_CASE("a query waits for a new owner and gets 503 before the client gives up") {
     EdgeWorld world;
     world.provideAll();
     world.stores[1]->state_reply.status = QueryStatus::not_owner;
@@ -353,14 +355,14 @@
         REQUIRE(response);
         CHECK(response->status == 200);
     }
-    SUBCASE("none comes") {
+    SUBCASE("no newer view") {
         const SteadyTime start = world.world.now();
         CHECK(world.statusOf(ask) == 503);
         CHECK(world.world.now() - start <= Millis(1700));
     }
 }
 
-TEST_CASE("a bare id is asked for at every partition") {
+TEST_CASE("a query for a bare id asks every partition") {
     EdgeWorld world;
     world.provideAll();
     HttpRequest ask = world.request("/message/9c41d07b", "q");
@@ -392,7 +394,7 @@
     CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 503);
     CHECK(status() == 503);
     world.world.run(Millis(3000));
-    CHECK(status() == 503);  // nobody has answered
+    CHECK(status() == 503);  // no store has answered
     world.stores[2] = std::make_unique<FakeStore>(world.world, world.network, NodeAddress{"10.2.0.3", 7782});
     world.world.run(Millis(150));
     CHECK(status() == 200);
@@ -402,7 +404,7 @@
     CHECK(counters.find("unavailable 1\n") != std::string::npos);
 }
 
-TEST_CASE("the advised wait spreads a client's tries over its deadline") {
+TEST_CASE("Retry-After spreads a client's retries over its deadline") {
     EdgeWorld world;
     world.provideAll();
     world.replyToAccepts({AcceptStatus::refused, false, 0, 0});
--- a/tests/cluster/edge_callback_test.cpp
+++ b/tests/cluster/edge_callback_test.cpp
@@ -1,4 +1,4 @@
-// Call-backs of ended messages, and the planned end of an edge.
+// Tests call-backs and the graceful shutdown of an edge.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("a success is called back with its stamp, after the owner was told") {
+TEST_CASE("a success is called back with its stamp, after it was reported to the owner") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall& call) {
@@ -52,7 +52,7 @@
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
 }
 
-TEST_CASE("a rejected message is called back as a dead letter; a failed one is the owner's to end") {
+TEST_CASE("a rejected message is called back as a dead letter; a failed one is left to the owner") {
     EdgeWorld world;
     world.provideAll();
     int status = 422;
@@ -69,7 +69,7 @@
     CHECK_FALSE(world.stores[0]->results.back().callback_started);
 }
 
-TEST_CASE("the owner hears of the end before it hears of the call-back") {
+TEST_CASE("the result is acknowledged before the call-back is reported") {
     EdgeWorld world;
     world.provideAll();
     world.stores[0]->acknowledges_reports = false;
@@ -89,7 +89,7 @@
     CHECK(world.http.sentTo(kReceiver) == 1);
 }
 
-TEST_CASE("a granted call-back is delivered and not the message") {
+TEST_CASE("a granted call-back is sent without running the message") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return answer(200); };
@@ -101,7 +101,7 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::callback_delivered);
 }
 
-TEST_CASE("a receiver that fails is asked again with growing pauses, then the owner decides") {
+TEST_CASE("a failing receiver is retried with growing backoff, then the call-back is reported as failed") {
     EdgeWorld world;
     world.provideAll();
     SUBCASE("it answers 503") {
@@ -110,7 +110,7 @@
     SUBCASE("it is down") {
         world.http.script = [](const HttpCall&) { return unreachable(); };
     }
-    SUBCASE("it breaks off") {
+    SUBCASE("it breaks the connection") {
         world.http.script = [](const HttpCall&) { return connectionLost(); };
     }
     world.push(0, {callbackGrant(world, "id-1")});
@@ -125,7 +125,7 @@
     CHECK(world.stores[0]->results.size() == 1);
 }
 
-TEST_CASE("a receiver that is down holds up no other and is not stormed") {
+TEST_CASE("a receiver that is down does not delay others and gets few requests") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall& call) {
@@ -140,13 +140,13 @@
     world.world.run(Millis(1000));
     CHECK(world.stores[0]->results.size() == 50);
     CHECK(world.http.sentTo(kReceiver) <= 20);
-    // It comes back: everything reaches it.
+    // Once the receiver is up again, all call-backs reach it.
     world.http.script = [](const HttpCall&) { return answer(200); };
     world.world.run(Millis(4000));
     CHECK(world.stores[0]->results.size() == 100);
 }
 
-TEST_CASE("a receiver that resets connections after they were made is not stormed either") {
+TEST_CASE("a receiver that resets established connections gets few requests") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return connectionLost(); };
@@ -160,7 +160,7 @@
     CHECK(world.stores[0]->results.size() == 50);
 }
 
-TEST_CASE("a receiver gets few connections, fewer where there are many edges") {
+TEST_CASE("a receiver gets few connections per edge, fewer with many edges") {
     EdgeWorld world;
     world.provideAll();
     std::size_t most = 8;
@@ -178,7 +178,7 @@
     CHECK(world.stores[0]->results.size() == 60);
 }
 
-TEST_CASE("where not all edges may connect to a receiver, the owner is left to grant call-backs") {
+TEST_CASE("if not all edges may connect to a receiver, the owner grants the call-backs") {
     EdgeWorld world;
     world.provideAll();
     world.edge->setEdgeShare({200, 200, 0});
@@ -197,7 +197,7 @@
     CHECK(world.http.max_open <= 4);
 }
 
-TEST_CASE("leaving: not ready, no new grants, what runs ends and is reported") {
+TEST_CASE("leaving: not ready, no new grants, running attempts end and are reported") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -208,7 +208,7 @@
     world.world.run(Millis(20));
     for (const auto& store : world.stores) CHECK(store->syncs.back().leaving);
     CHECK(world.push(0, {world.grant("id-2")}) == std::vector<bool>{false});
-    // A client on an open connection is still served, asked to go, and its message runs elsewhere.
+    // A client on an open connection is still served and asked to close it; its message runs on another edge.
     const auto response = world.responseTo(world.request("/plain/x", "id-3"));
     REQUIRE(response);
     CHECK(response->status == 202);
@@ -224,7 +224,7 @@
     CHECK_FALSE(world.stores[0]->results[0].callback_started);
 }
 
-TEST_CASE("leaving: what has not begun goes back at once") {
+TEST_CASE("leaving: grants that have not started go back at once") {
     EdgeWorld world;
     world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
@@ -239,7 +239,7 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
 }
 
-TEST_CASE("leaving: call-backs that wait go back, one on its way may still be taken") {
+TEST_CASE("leaving: queued call-backs go back, those in flight may still be delivered") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -261,7 +261,7 @@
     CHECK(world.stores[0]->results.back().outcome == RunOutcome::callback_failed);
 }
 
-TEST_CASE("leaving ends a second before the grace is over at the latest") {
+TEST_CASE("leaving ends at the latest one second before the end of the grace period") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -274,7 +274,7 @@
     CHECK(left);
 }
 
-TEST_CASE("leaving: clients that the platform still sends are served until it has noticed") {
+TEST_CASE("leaving: clients are served until the platform has seen that the edge is not ready") {
     EdgeWorld world;
     world.provideAll();
     bool left = false;
@@ -286,15 +286,15 @@
     CHECK(left);
 }
 
-TEST_CASE("a new owner hears of the end again before it hears of the call-back") {
+TEST_CASE("a new owner gets the result again before the call-back is reported") {
     EdgeWorld world;
     world.provideAll();
     std::optional<HttpOutcome> receiver;
     world.http.script = [&](const HttpCall& call) {
         return toReceiver(call) ? receiver : std::optional<HttpOutcome>(success("s"));
     };
-    SUBCASE("the call-back is still on its way") {}
-    SUBCASE("the call-back was taken, too") {
+    SUBCASE("the call-back is still in flight") {}
+    SUBCASE("the call-back was delivered as well") {
         receiver = answer(200);
     }
     world.push(0, {withCallback(world, "id-1")});
--- a/tests/cluster/edge_delivery_test.cpp
+++ b/tests/cluster/edge_delivery_test.cpp
@@ -1,4 +1,5 @@
-// Deliveries of granted messages: what servers get, what owners are told, and what is never sent twice.
+// Tests the delivery of granted messages: the requests to servers, the reports to owners, and that no attempt
+// that may have run is repeated.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -59,7 +60,7 @@
     CHECK(world.http.sent.empty());
 }
 
-TEST_CASE("an attempt that may have run ends the grant, with its own word") {
+TEST_CASE("an attempt that may have run ends the grant with the matching outcome") {
     EdgeWorld world;
     world.provideAll();
     HttpOutcome outcome;
@@ -73,22 +74,22 @@
     SUBCASE("failure") {
         outcome = answer(500), expected = RunOutcome::failed;
     }
-    SUBCASE("refusal for good") {
+    SUBCASE("permanent rejection") {
         outcome = answer(422), expected = RunOutcome::rejected;
     }
-    SUBCASE("the server's time-out") {
+    SUBCASE("time-out reported by the server") {
         outcome = answer(504);
     }
-    SUBCASE("silence") {
+    SUBCASE("no answer") {
         outcome = timedOut();
     }
     SUBCASE("a broken connection") {
         outcome = connectionLost();
     }
-    SUBCASE("busy, but not saying that it did not run") {
+    SUBCASE("busy, without Not-Executed") {
         outcome = answer(503);
     }
-    SUBCASE("it runs now") {
+    SUBCASE("already running") {
         outcome = notExecuted(409);
     }
     world.http.script = [&](const HttpCall&) { return outcome; };
@@ -100,7 +101,7 @@
     CHECK_FALSE(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("an attempt that surely did not run is followed by another server inside the grant") {
+TEST_CASE("an attempt that certainly did not run is followed by another server within the grant") {
     EdgeWorld world;
     world.provideAll();
     HttpOutcome outcome;
@@ -126,14 +127,14 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::completed);
 }
 
-TEST_CASE("at most three sends inside a grant, then it goes back as not run") {
+TEST_CASE("at most three sends per grant, then it goes back as not run") {
     std::size_t servers = 6;
     HttpOutcome outcome = unreachable();
     bool down = false;
     SUBCASE("all full") {
         outcome = notExecuted(503);
     }
-    SUBCASE("all of them full, and no others") {
+    SUBCASE("all servers full, and no others") {
         outcome = notExecuted(503), servers = 3;
     }
     SUBCASE("unreachable, but there are others") {}
@@ -151,7 +152,7 @@
     CHECK(world.stores[0]->results[0].destination_down == down);
 }
 
-TEST_CASE("a service with a ceiling gets one arrival for a grant") {
+TEST_CASE("a rate-limited service gets one request per grant") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return notExecuted(429); };
@@ -166,7 +167,7 @@
     CHECK_FALSE(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("an endpoint that is down is told as such") {
+TEST_CASE("an endpoint that is down is reported as down") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return unreachable(); };
@@ -178,7 +179,7 @@
     CHECK(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("connections to a server stay within this edge's share, and work waits for them") {
+TEST_CASE("connections to a server stay within this edge's share, and deliveries wait for them") {
     EdgeWorld world;
     world.provideAll();
     world.edge->setEdgeShare({2, 2, 0});  // 4 connections for all: 1 for each of two edges
@@ -194,8 +195,7 @@
     CHECK(world.stores[0]->results.size() == 5);
 }
 
-TEST_CASE(
-    "any dispatcher may run a message for an endpoint, also where there are more of them than connections") {
+TEST_CASE("any edge may run a message for an endpoint, even with more edges than connections") {
     for (std::uint32_t rank = 0; rank < 20; ++rank) {
         CAPTURE(rank);
         EdgeWorld world;
@@ -208,7 +208,7 @@
     }
 }
 
-TEST_CASE("work that waits too long for a connection goes back") {
+TEST_CASE("a grant that waits too long for a connection goes back") {
     EdgeWorld world;
     world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
@@ -233,7 +233,7 @@
     CHECK(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("a server that drains or is gone gets nothing from the moment that the list says so") {
+TEST_CASE("a draining or removed server gets no requests once the list says so") {
     EdgeWorld world;
     world.provideAll();
     for (std::uint64_t i = 0; i < 30; ++i) world.push(0, {world.grant("a" + std::to_string(i))});
@@ -249,7 +249,7 @@
     CHECK(world.http.drained_addresses[0] == serverAddress(2));
 }
 
-TEST_CASE("a further send inside a grant heeds the newest list") {
+TEST_CASE("a further send within a grant uses the newest list") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -263,7 +263,7 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
 }
 
-TEST_CASE("work rotates over equal servers by the module's pick") {
+TEST_CASE("the module spreads requests evenly over equal servers") {
     EdgeWorld world(1, 3, 4);
     world.provideAll();
     for (std::uint64_t i = 0; i < 200; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
@@ -273,7 +273,7 @@
     }
 }
 
-TEST_CASE("a server that broke off comes back after a while") {
+TEST_CASE("a server that broke connections is used again after a while") {
     EdgeWorld world(1, 3, 2);
     world.provideAll();
     bool sick = true;
@@ -288,7 +288,7 @@
     CHECK(world.http.sentTo(serverAddress(0)) > before + 100);
 }
 
-TEST_CASE("slower servers get less") {
+TEST_CASE("slower servers get fewer requests") {
     EdgeWorld world(1, 3, 2);
     world.provideAll();
     std::map<NodeAddress, Millis> work = {{serverAddress(0), Millis(20)}, {serverAddress(1), Millis(80)}};
@@ -300,7 +300,7 @@
     CHECK(world.http.sentTo(serverAddress(0)) > world.http.sentTo(serverAddress(1)) * 3 / 2);
 }
 
-TEST_CASE("a repeated grant is taken and not begun twice; another attempt of the message is refused") {
+TEST_CASE("a repeated grant is accepted and not started twice; another attempt of the message is refused") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -314,7 +314,7 @@
     CHECK(world.push(0, {world.grant("id-1", 0, 3)}) == std::vector<bool>{true});
 }
 
-TEST_CASE("an attempt whose report was not taken yet counts as running") {
+TEST_CASE("an attempt whose result is not acknowledged yet counts as running") {
     EdgeWorld world;
     world.provideAll();
     world.stores[0]->acknowledges_reports = false;
@@ -335,11 +335,11 @@
     CHECK(world.push(0, {world.grant("id-1")}) == std::vector<bool>{false});
     CHECK(world.push(1, {world.grant("id-2")}) == std::vector<bool>{true});
     Grant newer = world.grant("id-3");
-    newer.epoch = 3;  // of a view that this edge does not have yet
+    newer.epoch = 3;  // epoch of a view that this edge does not have yet
     CHECK(world.push(0, {newer}) == std::vector<bool>{true});
 }
 
-TEST_CASE("grants that were meant for the process before this one are not begun") {
+TEST_CASE("grants for another incarnation of the edge are refused") {
     EdgeWorld world;
     world.provideAll();
     const Incarnation own = 7;
@@ -353,7 +353,7 @@
     CHECK(world.http.sent.size() == 2);
 }
 
-TEST_CASE("grants over the bound are refused") {
+TEST_CASE("grants above the limit are refused") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -362,12 +362,12 @@
     const std::vector<bool> taken = world.push(0, grants);
     REQUIRE(taken.size() == 310);
     CHECK(std::count(taken.begin(), taken.end(), true) == 300);
-    // A message is still accepted, but for another edge to run.
+    // A message is still accepted, but this edge does not ask for its grant.
     CHECK(world.statusOf(world.request("/plain/x", "more")) == 202);
     CHECK_FALSE(world.stores[0]->accepts.at(0).wants_grant);
 }
 
-TEST_CASE("a route that a newer configuration dropped is not run any more") {
+TEST_CASE("messages of a route that a newer configuration removed are not run") {
     EdgeWorld world;
     world.provideAll();
     auto without = std::make_shared<Configuration>(*edge_test::configuration());
@@ -379,7 +379,7 @@
     CHECK(world.http.sent.empty());
     REQUIRE(world.stores[0]->results.size() == 1);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
-    // A grant that rests on a newer configuration than this edge has is delivered.
+    // A grant made under a newer configuration than this edge has is delivered.
     Grant newer = world.grant("id-2");
     newer.content.config_generation = 3;
     newer.content.order_scope = "host.example/brand-new/";
@@ -387,13 +387,13 @@
     CHECK(world.http.sent.size() == 1);
 }
 
-TEST_CASE("the module is built anew for another number of edges without losing work") {
+TEST_CASE("the module is rebuilt for another number of edges without losing grants") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
     for (std::uint64_t i = 0; i < 3; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     world.edge->setEdgeShare({8, 8, 0});
-    world.http.release(notExecuted(503));  // of the module that is gone: back to the owner
+    world.http.release(notExecuted(503));  // sent by the previous module: the grant goes back to the owner
     world.http.release(success("s"));
     world.http.release(success("s"));
     world.http.script = [](const HttpCall&) { return success("s"); };
@@ -406,7 +406,7 @@
     CHECK(counters.find("edges 8\n") != std::string::npos);
 }
 
-TEST_CASE("a fall of the number of edges counts only once it has lasted") {
+TEST_CASE("a lower number of edges takes effect only after a delay") {
     EdgeWorld world;
     world.provideAll();
     world.edge->setEdgeShare({8, 8, 0});
@@ -418,7 +418,7 @@
     CHECK(world.edge->countersText().find("edges 7\n") != std::string::npos);
 }
 
-TEST_CASE("a grant with an accept that this edge can't run goes back at once") {
+TEST_CASE("a grant received with an accept that this edge cannot run goes back at once") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
--- a/tests/cluster/edge_query_test.cpp
+++ b/tests/cluster/edge_query_test.cpp
@@ -1,5 +1,5 @@
-// GET /message and /message-body: never "no such message" where a dispatcher can't be sure, and always an
-// answer in time. Also what servers see of order keys and of the tries that a message has.
+// Tests GET /message and /message-body: an edge answers 404 only if it is certain that the message does not
+// exist, and always answers in time. Also checks the order keys and the number of runs that servers see.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
 constexpr Millis kMaxAnswerTime{2000};
 constexpr Millis kQueryMinAge{2000};
 
-// The status of a question to the one edge, which must come in time.
+// Returns the status of a query and checks that it arrives in time.
 int queryInTime(EdgeWorld& world, const std::string& target) {
     HttpRequest ask = world.request(target, "q");
     ask.method = "GET";
@@ -30,7 +30,8 @@
     return status;
 }
 
-// Asks for the state and the bytes of messages that were accepted a while ago, and notes wrong answers.
+// Queries the state and the body of messages accepted at least kQueryMinAge ago, and records wrong answers as
+// violations.
 class QueryClient {
 public:
     explicit QueryClient(EdgeStoreFixture& fixture) : fixture_(fixture) {}
@@ -69,13 +70,14 @@
     void checkResponse(const std::string& id, bool state, SteadyTime start, const HttpResponse& response) {
         ++answered_;
         const ObservedMessage& message = fixture_.messages.at(id);
-        if (fixture_.world().now() - start > kMaxAnswerTime) fixture_.violations.push_back("late: " + id);
+        if (fixture_.world().now() - start > kMaxAnswerTime)
+            fixture_.violations.push_back("late: answer to a query for " + id);
         if (response.status == 503) ++unavailable_;
         const bool exists = state || !message.ended;
         if (response.status == 404 && exists) fixture_.violations.push_back("lost: 404 for " + id);
         const bool has_bytes = !state && response.status == 200;
         if (has_bytes && response.body != "body of " + id)
-            fixture_.violations.push_back("mixed: the bytes of " + id);
+            fixture_.violations.push_back("changed: the queried body of " + id);
     }
 
     EdgeStoreFixture& fixture_;
@@ -110,7 +112,7 @@
 
 }  // namespace
 
-TEST_CASE("a dispatcher that can't be sure says 503 within two seconds") {
+TEST_CASE("an edge that is not certain answers 503 within two seconds") {
     struct Situation {
         std::string name;
         std::function<void(EdgeWorld&)> setUp;
@@ -139,7 +141,7 @@
              world.provideAll();
              world.stores[1]->state_reply.status = QueryStatus::not_owner;
          }},
-        {"owners that know of none", [](EdgeWorld& world) { world.provideAll(); }, 404},
+        {"owners without the message", [](EdgeWorld& world) { world.provideAll(); }, 404},
     };
     for (const Situation& situation : situations) {
         for (const std::string target : {"/message/p4-id-1", "/message-body/p4-id-1", "/message/bare-id"}) {
@@ -152,7 +154,7 @@
     }
 }
 
-TEST_CASE("a dispatcher answers from its first view on, and takes itself out at once when it leaves") {
+TEST_CASE("an edge answers from its first view on, and is not ready from the start of its shutdown") {
     EdgeWorld world;
     HttpRequest ask = world.request("/message/p4-id-1", "q");
     ask.method = "GET";
@@ -172,11 +174,11 @@
     CHECK(readiness() == 200);
     world.edge->leave([] {});
     CHECK(readiness() == 503);
-    CHECK(queryInTime(world, "/message/p4-id-1") == 200);  // on connections that are open
+    CHECK(queryInTime(world, "/message/p4-id-1") == 200);  // on open connections
     CHECK(readiness() == 503);
 }
 
-TEST_CASE("no accepted message is unknown while stores die, come back and leave; keys are the senders'") {
+TEST_CASE("no accepted message is unknown while stores and edges die and restart; order keys are unchanged") {
     int unavailable = 0;
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
@@ -185,7 +187,7 @@
         runTrafficWithQueries(fixture, client, 250);
         auto& victim = *fixture.stores.machines[seed % 3];
         fixture.stores.stop(victim);
-        runTrafficWithQueries(fixture, client, 80);  // nobody has noticed yet
+        runTrafficWithQueries(fixture, client, 80);  // no view reflects the death of the store yet
         fixture.changeView();
         runTrafficWithQueries(fixture, client, 150);
         fixture.stores.start(victim);
@@ -198,7 +200,7 @@
         unavailable += client.unavailable();
         checkAnswers(fixture, client);
     }
-    MESSAGE("answers of 503: " << unavailable);
+    MESSAGE("queries answered with 503: " << unavailable);
 }
 
 TEST_CASE("no accepted message is unknown on a lossy network") {
@@ -213,7 +215,7 @@
     }
 }
 
-TEST_CASE("a message that has used up its tries reaches no server again, also under new owners") {
+TEST_CASE("a message that has used up its runs reaches no server again, also under new owners") {
     int runs_over_budget = 0;
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
@@ -231,14 +233,14 @@
         fixture.stores.start(victim);
         fixture.changeView();
         runTrafficWithQueries(fixture, client, 150);
-        checkAnswers(fixture, client);  // the rule's own bounds, for each message
+        checkAnswers(fixture, client);  // checks the specified bounds for each message
         CHECK(fixture.runs_over_budget <= 8);
         runs_over_budget += fixture.runs_over_budget;
     }
-    CHECK(runs_over_budget <= 20);  // of counts that died with their owner; about one a play
+    CHECK(runs_over_budget <= 20);  // caused by failure counts lost with their owner; about one per seed
 }
 
-TEST_CASE("a read of the configuration is answered as such, unless a route takes its path") {
+TEST_CASE("a read of the configuration is answered by its handler, unless a route matches its path") {
     EdgeWorld world;
     world.provideAll();
     int reads = 0;
@@ -249,15 +251,15 @@
     HttpRequest read{"GET", "/Config.Read", {{"Host", "10.1.0.1:8069"}}, ""};
     CHECK(world.statusOf(read) == 200);
     CHECK(reads == 1);
-    SUBCASE("another method is a message that no route takes") {
+    SUBCASE("another method is a message without a route") {
         read.method = "POST";
         CHECK(world.statusOf(read) == 404);
     }
-    SUBCASE("another path is one too") {
+    SUBCASE("another path is a message without a route") {
         read.target = "/Config.Reading";
         CHECK(world.statusOf(read) == 404);
     }
-    SUBCASE("a route of that path goes first") {
+    SUBCASE("a route that matches the path takes precedence") {
         const auto changed = std::make_shared<Configuration>(*edge_test::configuration());
         ++changed->generation;
         changed->routes.front().path_prefix = "/Config.Read";
--- a/tests/cluster/edge_report_test.cpp
+++ b/tests/cluster/edge_report_test.cpp
@@ -1,4 +1,5 @@
-// What owners of partitions are told: results until they are taken, and what runs.
+// Tests what an edge reports to the owners of partitions: results, until they are acknowledged, and running
+// attempts.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,10 +18,10 @@
 
 }  // namespace
 
-TEST_CASE("a result is told again until the owner by the newest view has taken it") {
+TEST_CASE("a result is reported again until the owner in the newest view acknowledges it") {
     EdgeWorld world;
     world.provideAll();
-    SUBCASE("the owner does not take it") {
+    SUBCASE("the owner does not acknowledge it") {
         world.stores[0]->acknowledges_reports = false;
     }
     SUBCASE("the owner is dead") {
@@ -29,7 +30,7 @@
     SUBCASE("the owner is cut off") {
         world.network.isolate("10.2.0.1");
     }
-    // Granted by the store that the edge still believes to be the owner.
+    // The grant names store-0, which the edge's view still has as the owner.
     Grant grant = world.grant("id-1");
     world.stores[1]->push(world.world, world.edge_address, {"store-0", 0, {grant}});
     world.world.run(Millis(2000));
@@ -61,7 +62,7 @@
     world.network.loss = 0.3;
     std::size_t taken = 0;
     for (std::uint64_t i = 0; i < 40; ++i) {
-        // The store sees a lost answer as not taken and pushes again, as an owner does.
+        // The store treats a lost answer as a refused grant, as an owner does.
         const std::string id = "id-" + std::to_string(i);
         const std::vector<bool> answer = world.push(0, {world.grant(id)});
         taken += !answer.empty() && answer[0];
@@ -78,7 +79,7 @@
     CHECK(sends.size() >= taken);
 }
 
-TEST_CASE("every live store hears what runs: with each view, and every second") {
+TEST_CASE("every live store gets the running attempts with each view and every second") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
@@ -99,7 +100,7 @@
     CHECK(world.stores[2]->syncs.back().view_epoch == 2);
 }
 
-TEST_CASE("a new owner hears again of ends that the dead one may have kept to itself") {
+TEST_CASE("a new owner gets results again that the dead owner may not have replicated") {
     EdgeWorld world;
     world.provideAll();
     int status = 200;
@@ -112,8 +113,8 @@
     world.world.run(Millis(1000));
     REQUIRE(world.stores[0]->results.size() == 2);
     const std::size_t of_next = world.stores[1]->results.size();
-    // The successor is not ready at first: until then the end counts as running, so that nobody runs it
-    // again.
+    // The successor is not ready at first. Until it acknowledges the result, the attempt counts as running,
+    // so that the message is not run again.
     world.stores[1]->acknowledges_reports = false;
     world.edge->onView(world.viewWithout(2, 0));
     world.world.run(Millis(50));
@@ -123,13 +124,13 @@
     CHECK(world.stores[1]->syncs.back().running[0].attempt == 1);
     world.stores[1]->acknowledges_reports = true;
     world.world.run(Millis(500));
-    // The failure is not told again: it might be counted twice.
+    // The failure is not reported again, since it might be counted twice.
     REQUIRE(world.stores[1]->results.size() == of_next + 1);
     CHECK(world.stores[1]->results.back().id == "done");
     CHECK(world.stores[1]->results.back().outcome == RunOutcome::completed);
     CHECK(world.stores[1]->results.back().stamp == "s");
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
-    // Where the owner stays, nothing is told again; nor are old ends.
+    // Nothing is reported again if the owner stays the same, and neither are old results.
     world.world.run(Millis(3100));
     const std::size_t before = world.results().size();
     world.edge->onView(world.viewWithout(3, 1));
--- a/tests/cluster/edge_store_pending_test.cpp
+++ b/tests/cluster/edge_store_pending_test.cpp
@@ -1,6 +1,6 @@
-// Nothing gets stuck: within 6 s of steady state after any trouble of edges, stores, links and
-// receivers each message whose time has come, or one of its order, is at a server, and soon after each
-// call-back that is owed was taken. AMBERSWITCH_STORE_SEEDS sets the number of seeds of each play.
+// Checks that no message gets stuck: within 6 s after faults of edges, stores, links or receivers have ended,
+// every due message, or one with the same order key, reaches a server, and within kCallbackWithin every
+// pending call-back is delivered. AMBERSWITCH_STORE_SEEDS sets the number of seeds per test.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Millis kSettleTime{6000};
-// After its end a call-back is taken within this time of steady state.
+// Longest time without faults until the call-back of an ended message is delivered.
 constexpr Millis kCallbackWithin{10'000};
 constexpr std::uint64_t kRetriesAllowed = 3;
 
@@ -66,7 +66,7 @@
     count,
 };
 
-// One trouble, its being noticed, and its end.
+// Injects one fault and ends it.
 class InjectedFault {
 public:
     InjectedFault(EdgeStoreFixture& fixture, Fault fault)
@@ -139,7 +139,7 @@
     StoreMachine& store_;
 };
 
-// The messages, and the orders of messages, that were at a server since then.
+// Returns the ids and order keys of the messages that reached a server after `since`.
 std::set<std::string> activeSince(const EdgeStoreFixture& fixture, SteadyTime since) {
     std::set<std::string> active;
     for (const auto& [id, message] : fixture.messages) {
@@ -158,7 +158,7 @@
         if (!owed || message.ended || active.contains(id) || active.contains(message.order_key)) continue;
         stuck += id + " of " + message.route + " " + message.order_key + "\n";
     }
-    INFO("seed " << seed << " trouble " << fault);
+    INFO("seed " << seed << " fault " << fault);
     CHECK_MESSAGE(stuck.empty(), stuck);
 }
 
@@ -168,7 +168,7 @@
         const bool done = message.status == 202 && message.ended && *message.ended < before;
         if (done && message.wants_callback && message.callbacks_delivered == 0) missing += id + "\n";
     }
-    INFO("seed " << seed << " trouble " << fault);
+    INFO("seed " << seed << " fault " << fault);
     CHECK_MESSAGE(missing.empty(), missing);
 }
 
@@ -197,20 +197,20 @@
     checkCallbacks(fixture, seed, static_cast<int>(first_fault), healed);
     fixture.world().run(Millis(15'000));
     fixture.check();
-    INFO("seed " << seed << " trouble " << static_cast<int>(first_fault));
+    INFO("seed " << seed << " fault " << static_cast<int>(first_fault));
     CHECK_MESSAGE(fixture.violations.empty(), fixture.violationText());
 }
 
 }  // namespace
 
-TEST_CASE("after one trouble nothing is stuck") {
+TEST_CASE("no message is stuck after one fault") {
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         const auto kinds = static_cast<std::uint64_t>(Fault::count);
         runFaults(seed, static_cast<Fault>(seed % kinds), 1);
     }
 }
 
-TEST_CASE("after two troubles in a row nothing is stuck") {
+TEST_CASE("no message is stuck after two faults in a row") {
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         const auto kinds = static_cast<std::uint64_t>(Fault::count);
         runFaults(1000 + seed, static_cast<Fault>(seed % kinds), 2);
@@ -242,7 +242,7 @@
     }
 }
 
-TEST_CASE("a message with a delay begins after it, whoever owns it by then") {
+TEST_CASE("a delayed message runs after its delay, even under a new owner") {
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         for (int i = 0; i < 30; ++i) {
--- a/tests/cluster/edge_store_test.cpp
+++ b/tests/cluster/edge_store_test.cpp
@@ -1,5 +1,5 @@
-// Real edges with real stores, over many seeds: what clients and servers see keeps the rules, calm or in
-// trouble.
+// Runs real edges with real stores over many seeds and checks that clients and servers observe the delivery
+// rules, with and without faults.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -31,7 +31,7 @@
     return count;
 }
 
-// Messages that have ended and whose call-back took longer than that, or has not come.
+// Counts the ended messages whose call-back took longer than `most` or has not arrived.
 int lateCallbacks(const EdgeStoreFixture& fixture, Millis most) {
     int count = 0;
     for (const auto& [id, message] : fixture.messages) {
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("a calm day: everything is accepted, runs once and is called back") {
+TEST_CASE("without faults every message is accepted, runs once and is called back") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         fixture.servers.failure_rate = 0.05;
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_CASE("answers of servers get lost") {
+TEST_CASE("answers of servers are lost") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         fixture.servers.lost_answer_rate = 0.1;
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE("a store is killed: others go on, and what succeeded is not run again") {
+TEST_CASE("a store is killed: others take over, and messages that succeeded are not run again") {
     int reruns = 0;
     int unclear = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -90,7 +90,7 @@
         traffic(fixture, 200);
         StoreMachine& victim = *fixture.stores.machines[seed % 3];
         fixture.stores.stop(victim);
-        traffic(fixture, 100);  // nobody has noticed yet
+        traffic(fixture, 100);  // no view reflects the death of the store yet
         fixture.changeView();
         traffic(fixture, 150);
         fixture.stores.start(victim);
@@ -105,11 +105,11 @@
         reruns += rerunsOfReadSuccesses(fixture);
         unclear += countStatus(fixture, 504);
     }
-    MESSAGE("runs again after a success that was read: " << reruns << ", unclear answers: " << unclear);
+    MESSAGE("runs after a success that an edge had read: " << reruns << ", answers of 504: " << unclear);
     CHECK(reruns <= 3);
 }
 
-TEST_CASE("a store leaves as planned: nothing runs twice") {
+TEST_CASE("a store shuts down gracefully: nothing runs twice") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         traffic(fixture, 200);
@@ -136,7 +136,7 @@
     }
 }
 
-TEST_CASE("an edge is killed and comes back") {
+TEST_CASE("an edge is killed and restarted") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         traffic(fixture, 200);
@@ -152,7 +152,7 @@
     }
 }
 
-TEST_CASE("an edge leaves as planned: its clients are answered and nothing runs twice") {
+TEST_CASE("an edge shuts down gracefully: its clients are answered and nothing runs twice") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         traffic(fixture, 200);
@@ -160,9 +160,10 @@
         bool left = false;
         fixture.edges[leaver].node->leave([&] {
             left = true;
-            fixture.edges[leaver].scheduler->post([&] { fixture.killEdge(leaver); });  // the process exits
+            fixture.edges[leaver].scheduler->post(
+                [&] { fixture.killEdge(leaver); });  // simulates the exit of the process
         });
-        traffic(fixture, 600);  // some goes there until it has left
+        traffic(fixture, 600);  // some messages go to the leaving edge until it has left
         CHECK(left);
         fixture.startEdge(leaver);
         traffic(fixture, 100);
@@ -176,7 +177,7 @@
     }
 }
 
-TEST_CASE("a receiver of call-backs is down for a while") {
+TEST_CASE("a call-back receiver is down for a while") {
     EdgeStoreFixture fixture(5, 3);
     fixture.servers.receiver_down = true;
     traffic(fixture, 300);
@@ -187,7 +188,8 @@
     CHECK_MESSAGE(fixture.violations.empty(), fixture.violationText());
 }
 
-TEST_CASE("more edges than a receiver of call-backs takes connections: none is reset, none is late") {
+TEST_CASE(
+    "more edges than connections to a call-back receiver: no connection is reset, no call-back is late") {
     constexpr std::size_t kReceiverConnections = 64;
     constexpr int kEdges = 200;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -209,7 +211,7 @@
     }
 }
 
-TEST_CASE("the edges that tell a receiver of call-backs are killed: others do it") {
+TEST_CASE("the edges that send call-backs to a receiver are killed: others send them") {
     EdgeStoreFixture fixture(1, 60);
     fixture.servers.max_receiver_connections = 64;
     traffic(fixture, 300);
@@ -227,7 +229,7 @@
     CHECK_MESSAGE(fixture.violations.empty(), fixture.violationText());
 }
 
-TEST_CASE("a ceiling holds over all edges and stores") {
+TEST_CASE("a rate limit holds over all edges and stores") {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         for (int i = 0; i < 1200; ++i) {
@@ -269,8 +271,8 @@
 
 constexpr Millis kQuotaPeriod{100};
 
-// A share of a core as a quota: each process runs for a part of each tenth of a second, from a moment of its
-// own on, and stands still for the rest.
+// Simulates a CPU quota: each process is frozen for `standing` in every period of 100 ms, starting at a
+// random offset, and runs for the rest.
 void limitByQuota(EdgeStoreFixture& fixture, Millis standing, SteadyTime until) {
     const auto stop = [&fixture, standing](SimulatedScheduler* scheduler, MemoryTransport* transport) {
         scheduler->freeze(standing);
@@ -293,7 +295,7 @@
 
 }  // namespace
 
-TEST_CASE("edges and stores whose processor is a quota keep the rules, and nothing waits for good") {
+TEST_CASE("edges and stores under a CPU quota keep the rules, and no message waits forever") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         INFO("seed " << seed);
         EdgeStoreFixture fixture(seed, 3);
--- a/tests/cluster/edge_store_world.hpp
+++ b/tests/cluster/edge_store_world.hpp
@@ -1,5 +1,5 @@
-// Real edges and real stores on the simulated network: clients, servers and receivers of call-backs are
-// played, and all that they saw is checked against the rules.
+// Test fixture with real edges and real stores on the simulated network. Clients, servers and call-back
+// receivers are simulated, and everything they observe is checked against the delivery rules.
 #pragma once
 
 #include <limits>
@@ -18,12 +18,12 @@
 
 using namespace amberswitch::cluster::simulation;
 
-// What clients and servers know of one message.
+// What the clients and servers observed of one message.
 struct ObservedMessage {
     std::string route;
     std::string order_key;
     std::string ref;
-    int status = 0;  // of the answer to the client; 0: none yet
+    int status = 0;  // of the response to the client; 0 before it
     SteadyTime sent{};
     SteadyTime answered{};
     std::int64_t delay_ms = 0;
@@ -41,8 +41,8 @@
     int runs_after_read_success = 0;
     bool wants_callback = false;
     int callbacks_delivered = 0;
-    std::optional<SteadyTime> first_callback_at;  // for the first time
-    std::string state;                            // as told in the end
+    std::optional<SteadyTime> first_callback_at;
+    std::string state;  // as returned by the final state query
 };
 
 struct ServerBehavior {
@@ -52,12 +52,12 @@
     double full_rate = 0;
     Millis mean_response_time{30};
     bool receiver_down = false;
-    std::size_t max_receiver_connections = std::numeric_limits<std::size_t>::max();  // it resets those beyond
+    std::size_t max_receiver_connections = std::numeric_limits<std::size_t>::max();  // further ones are reset
 };
 
 class EdgeStoreFixture;
 
-// The servers as one edge process reaches them; silent once the process is dead.
+// The HTTP client of one edge process. Once the process is dead, no call finishes.
 class EdgeProcessHttp : public HttpClient {
 public:
     explicit EdgeProcessHttp(EdgeStoreFixture& fixture)
@@ -72,13 +72,13 @@
     HttpOutcome run(const HttpCall& call, Millis span);
     void checkBudget(const std::string& id, ObservedMessage& message);
     HttpOutcome handleCallback(const HttpCall& call);
-    // Takes an idle connection to the receiver or makes one. False: the receiver resets it.
+    // Reuses an idle connection to the receiver or opens one. Returns false if the receiver resets it.
     bool connectToReceiver();
     void sendCallback(const HttpCall& call, Millis span, std::function<void(HttpOutcome)> done);
 
     EdgeStoreFixture& fixture_;
-    std::size_t receiver_connections_ = 0;  // kept as long as the process lives
-    std::size_t receiver_calls_ = 0;        // under way
+    std::size_t receiver_connections_ = 0;  // kept for the lifetime of the process
+    std::size_t receiver_calls_ = 0;        // in progress
     std::shared_ptr<bool> alive_;
 };
 
@@ -98,11 +98,11 @@
 
     void startEdge(std::size_t index);
     void killEdge(std::size_t index);
-    // Tells everybody of the machines that run.
+    // Publishes a view of the running machines to all nodes.
     void changeView();
     void submit(const std::string& route, const std::string& order_key = {}, bool callback = false,
                 std::int64_t delay_ms = 0);
-    // Asks for the state of every accepted message.
+    // Queries the state of every accepted message.
     void queryStates();
     void check();
     std::size_t accepted() const;
@@ -116,7 +116,7 @@
     std::map<std::string, ObservedMessage> messages;
     std::vector<std::string> violations;
     std::vector<SteadyTime> limited_arrivals;
-    int runs_over_budget = 0;  // of messages whose last answer was read already
+    int runs_over_budget = 0;  // runs of messages whose final answer an edge had already read
     std::size_t receiver_connections = 0;
     std::size_t receiver_resets = 0;
 
@@ -240,7 +240,7 @@
         answered.answered = world().now();
         answered.ref = headerValue(response.headers, "Message-Ref");
         const bool promised_not_stored = response.status == 503;
-        if (promised_not_stored && answered.runs > 0) violations.push_back("refused: " + id + " had run");
+        if (promised_not_stored && answered.runs > 0) violations.push_back("503: " + id + " had already run");
     });
 }
 
@@ -262,11 +262,13 @@
     });
 }
 
-// The rule's own bounds: three times the route's maxRetries (3) answers of 500, three of 422.
+// The specified bounds: at most three times the route's maxRetries (3) answers of 500, and at most three
+// answers of 422.
 inline void EdgeProcessHttp::checkBudget(const std::string& id, ObservedMessage& message) {
-    if (message.failures_answered >= 9) fixture_.violations.push_back("budget: " + id + " after nine of 500");
+    if (message.failures_answered >= 9)
+        fixture_.violations.push_back("budget: " + id + " runs after nine answers of 500");
     if (message.rejections_answered >= 3)
-        fixture_.violations.push_back("budget: " + id + " after three of 422");
+        fixture_.violations.push_back("budget: " + id + " runs after three answers of 422");
     const bool budget_used_up = message.failures_read >= 3 || message.rejections_read >= 1;
     if (budget_used_up) ++fixture_.runs_over_budget;
 }
@@ -275,11 +277,11 @@
     World& world = fixture_.world();
     const std::string id(headerValue(call.request.headers, "Request-Id"));
     ObservedMessage& message = fixture_.messages.at(id);
-    if (call.request.body != "body of " + id) fixture_.violations.push_back("unasked: the body of " + id);
+    if (call.request.body != "body of " + id) fixture_.violations.push_back("changed: the body of " + id);
     if (headerValue(call.request.headers, "Order-Key") != message.order_key)
-        fixture_.violations.push_back("unasked: the order key of " + id);
+        fixture_.violations.push_back("changed: the order key of " + id);
     checkBudget(id, message);
-    if (message.status == 503) fixture_.violations.push_back("refused: " + id + " runs");
+    if (message.status == 503) fixture_.violations.push_back("503: " + id + " runs although it was refused");
     if (message.route == "limited") fixture_.limited_arrivals.push_back(world.now());
     HttpOutcome outcome;
     outcome.verdict = CallStatus::answered;
@@ -295,7 +297,8 @@
     for (const auto& [other_id, other] : fixture_.messages) {
         const bool earlier = other.status == 202 && other.answered < message.sent;
         if (message.order_key.empty() || other.order_key != message.order_key || !earlier) continue;
-        if (!other.ended) fixture_.violations.push_back("order: " + id + " before the end of " + other_id);
+        if (!other.ended)
+            fixture_.violations.push_back("order: " + id + " runs before the end of " + other_id);
     }
     const double draw = world.chance();
     const bool failed = draw < fixture_.servers.failure_rate;
@@ -362,10 +365,10 @@
     if (stamp != std::string::npos) {
         const std::size_t from = stamp + stamp_key.size();
         if (!message.stamps.contains(body.substr(from, body.find('"', from) - from))) {
-            fixture_.violations.push_back("mixed: a call-back with a stamp of no run");
+            fixture_.violations.push_back("call-back: its stamp belongs to no run");
         }
     } else if (!message.ended) {
-        fixture_.violations.push_back("mixed: a call-back says dead_letter before the end");
+        fixture_.violations.push_back("call-back: dead_letter before the message ended");
     }
     outcome.verdict = CallStatus::answered;
     return outcome;
@@ -397,7 +400,8 @@
         const bool completed = message.state.find("completed") != std::string::npos;
         const bool dead = message.state.find("dead_letter") != std::string::npos;
         if (!completed && !dead) violations.push_back("state: " + id + " is " + message.state);
-        if (completed && message.stamps.empty()) violations.push_back("mixed: " + id + " has no stamp");
+        if (completed && message.stamps.empty())
+            violations.push_back("state: " + id + " is completed without a stamp");
         if (message.wants_callback && message.callbacks_delivered == 0) {
             violations.push_back("call-back: none for " + id);
         }
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -1,5 +1,5 @@
-// One edge in a simulated world: fake stores that own the partitions, and servers played by a fake HTTP
-// client.
+// Test fixture with one edge in a simulated world: fake stores own the partitions, and a fake HTTP client
+// stands in for the servers.
 #pragma once
 
 #include <deque>
@@ -48,14 +48,14 @@
     return {};
 }
 
-// Plays application servers and receivers of call-backs.
+// Stands in for application servers and call-back receivers.
 class FakeHttp : public HttpClient {
 public:
     struct Sent {
         HttpCall call;
         SteadyTime at;
     };
-    // What an address answers, and after how long. Nothing: it holds the request until release().
+    // Returns the outcome of a call; nullopt holds the call until release().
     using Script = std::function<std::optional<HttpOutcome>(const HttpCall&)>;
 
     explicit FakeHttp(World& world) : world_(world) {}
@@ -81,7 +81,7 @@
     }
     void forget(const NodeAddress& address) override { drained_addresses.push_back(address); }
 
-    // Answers the request that has been held the longest.
+    // Finishes the call that has been held the longest.
     void release(HttpOutcome outcome) {
         const auto finish = held_.front();
         held_.pop_front();
@@ -95,7 +95,7 @@
     }
 
     std::size_t max_open = 0;
-    std::set<NodeAddress> connected;  // where connections are open
+    std::set<NodeAddress> connected;  // addresses with an open connection
     std::vector<NodeAddress> drained_addresses;
 
 private:
@@ -104,7 +104,7 @@
     std::deque<std::function<void(HttpOutcome)>> held_;
 };
 
-// A store that answers as the test says and remembers what it was told.
+// A store whose answers are set by the test and which records the requests it receives.
 class FakeStore {
 public:
     FakeStore(World& world, Network& network, NodeAddress address)
@@ -116,11 +116,11 @@
 
     AcceptMessageReply accept_reply{AcceptStatus::stored, true, 1, 1};
     bool answers_accepts = true;
-    bool grants_unrequested = false;  // also where the edge does not want it
+    bool grants_unrequested = false;  // grants even if the edge did not ask for a grant
     bool acknowledges_reports = true;
     StateReply state_reply{QueryStatus::found, Phase::pending, "", "body"};
     std::vector<AcceptMessageRequest> accepts;
-    std::vector<RunResult> results;  // that were taken
+    std::vector<RunResult> results;  // acknowledged results
     std::vector<RunResult> unacknowledged;
     std::size_t report_calls = 0;
     std::vector<EdgeSync> syncs;
@@ -189,7 +189,7 @@
     return settings;
 }
 
-// Routes "/plain/" (callbacks allowed), "/ordered/", "/capped/" (a static endpoint with a ceiling) on
+// Routes "/plain/" (call-backs allowed), "/ordered/" and "/capped/" (a static endpoint with a rate limit) on
 // host.example.
 inline std::shared_ptr<Configuration> configuration() {
     auto made = std::make_shared<Configuration>();
@@ -261,7 +261,8 @@
     }
     ~EdgeWorld() { scheduler.kill(); }
 
-    // Everything that an edge needs to serve; the owner of partition p is store p % stores.
+    // Provides the view, the configuration and the server list that an edge needs. Store p % stores owns
+    // partition p.
     void provideAll() {
         edge->onView(view(1));
         edge->onConfiguration(edge_test::configuration());
@@ -286,7 +287,7 @@
         }
         return made;
     }
-    // A view in which store `index` is gone and the next one owns its partitions.
+    // Returns a view in which store `index` is dead and the next store owns its partitions.
     std::shared_ptr<StoreView> viewWithout(Epoch epoch, std::size_t index) const {
         auto made = view(epoch);
         made->stores[index].alive = false;
@@ -313,7 +314,7 @@
         made.body = "the body";
         return made;
     }
-    // The answer to a request of a client, if one came within the span.
+    // Sends a client request and returns the response, or nullopt if none arrives within `span`.
     std::optional<HttpResponse> responseTo(const HttpRequest& asked, Millis span = Millis(3000)) {
         auto response = std::make_shared<std::optional<HttpResponse>>();
         edge->handleClientRequest(asked, [response](HttpResponse given) { *response = std::move(given); });
@@ -340,7 +341,7 @@
         made.timeout_ms = 2000;
         return made;
     }
-    // Of a message on the route to the endpoint with a ceiling.
+    // Returns a grant of a message on the route to the rate-limited endpoint.
     Grant cappedGrant(const std::string& id) const {
         Grant made = grant(id);
         made.content.order_scope = "host.example/capped/";
@@ -348,7 +349,7 @@
         made.content.target = "/capped/x";
         return made;
     }
-    // `process`: whom the store believes to run at the edge's address; 0: it does not know.
+    // `process`: the incarnation that the store expects at the edge's address; 0 if unknown.
     std::vector<bool> push(std::size_t store, std::vector<Grant> grants, Incarnation process = 0) {
         return stores[store]->push(world, edge_address,
                                    {"store-" + std::to_string(store), process, std::move(grants)});
@@ -363,7 +364,7 @@
         for (const auto& store : stores) count += store->accepts.size();
         return count;
     }
-    // Every store answers accepts alike.
+    // Makes every store answer accept requests with `with`.
     void replyToAccepts(AcceptMessageReply with) {
         for (const auto& store : stores) store->accept_reply = with;
     }
--- a/tests/cluster/server_subset_test.cpp
+++ b/tests/cluster/server_subset_test.cpp
@@ -1,4 +1,4 @@
-// The subsets of all dispatchers together stay within what each server takes.
+// Checks that the subsets of all edges together stay within the connection limit of each server.
 #include "cluster/edge/server_subset.hpp"
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Dispatchers and servers in drawn or given regions, one zone each.
+// Edges and servers in random or given regions of one zone each.
 struct Deployment {
     std::vector<std::uint32_t> edges;    // by region
     std::vector<std::uint32_t> servers;  // by region
@@ -40,7 +40,7 @@
         return chooseServers(locations(), topology(), zoneOf(region), max_connections,
                              {edgeCount(), edges[region], rank});
     }
-    // Connections to each server, were every dispatcher to use all that it may.
+    // Returns the connections to each server if every edge uses all that it may.
     std::vector<std::uint32_t> connectionsOfAll(std::uint32_t max_connections) const {
         std::vector<std::uint32_t> sum(locations().size(), 0);
         for (std::size_t region = 0; region < edges.size(); ++region) {
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("over drawn regions, dispatchers, servers and connections, no server gets more than it takes") {
+TEST_CASE("in random deployments no server exceeds its connection limit") {
     std::mt19937_64 random(7);
     const auto draw = [&random](std::uint32_t least, std::uint32_t max_connections) {
         return std::uniform_int_distribution<std::uint32_t>(least, max_connections)(random);
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE("everybody has two servers of its region where there are connections enough") {
+TEST_CASE("every edge has two servers of its region if there are enough connections") {
     const Deployment deployment{{15, 14, 16}, {3, 2, 3}};
     for (std::size_t region = 0; region < 3; ++region) {
         for (std::uint32_t rank = 0; rank < deployment.edges[region]; ++rank) {
@@ -91,12 +91,12 @@
             for (std::size_t index = 0; index < locations.size(); ++index)
                 own += subset.chosen[index] && locations[index].zone == Deployment::zoneOf(region) ? 1 : 0;
             CHECK(own == 2);
-            CHECK(sizeOf(subset) <= 3);  // and one beyond, in case that both are bad
+            CHECK(sizeOf(subset) <= 3);  // plus one in another region, in case both fail
         }
     }
 }
 
-TEST_CASE("connections of processes that are gone find room beside those of the next ones") {
+TEST_CASE("connections of dead edges fit beside those of their replacements") {
     const Deployment deployment{{15, 14, 16}, {11, 10, 11}};
     const auto sums = deployment.connectionsOfAll(24);
     CHECK(*std::min_element(sums.begin(), sums.end()) > 0);
@@ -104,13 +104,13 @@
     for (const std::uint32_t sum : sums) CHECK(sum <= 15);
 }
 
-TEST_CASE("few dispatchers use all servers, with all the connections that they may have") {
+TEST_CASE("few edges use all servers, with all connections they may open") {
     const ServerSubset subset = Deployment{{8}, {9}}.subsetOf(0, 3, 110);
     CHECK(sizeOf(subset) == 9);
     CHECK(subset.connections_per_server == 12);
 }
 
-TEST_CASE("a region without servers uses those of others within what is left to it") {
+TEST_CASE("a region without servers uses those of other regions within the reserved share") {
     const Deployment deployment{{30, 30}, {20, 0}};
     std::size_t with_server = 0;
     for (std::uint32_t rank = 0; rank < 30; ++rank)
@@ -118,7 +118,7 @@
     CHECK(with_server == 30);
 }
 
-TEST_CASE("where there are fewer connections than dispatchers, as many as possible get one") {
+TEST_CASE("with fewer connections than edges, as many edges as possible get one") {
     const Deployment deployment{{100}, {1}};
     std::size_t with_connection = 0;
     for (std::uint32_t rank = 0; rank < 100; ++rank)
@@ -126,7 +126,7 @@
     CHECK(with_connection == 15);
 }
 
-TEST_CASE("one dispatcher more or less moves few connections") {
+TEST_CASE("adding one edge moves few connections") {
     const Deployment before{{45}, {32}};
     const Deployment after{{46}, {32}};
     std::size_t kept = 0;
