--- a/src/cluster/edge/deliveries.cpp
+++ b/src/cluster/edge/deliveries.cpp
@@ -53,12 +53,15 @@
     for (const Service& service : configuration_->services) {
         std::unique_ptr<ServiceDispatcher>& dispatcher = services_[service.name];
         if (!dispatcher) {
-            const auto ended = [this](const Grant& grant, const DeliveryResult& result) {
+            const auto on_finished = [this](const Grant& grant, const DeliveryResult& result) {
                 onRunFinished(grant, result);
             };
-            const auto allowed = [this](const Grant& grant) { return followsConfiguration(grant); };
-            dispatcher = std::make_unique<ServiceDispatcher>(scheduler_, http_, counters_, self_.name,
-                                                             self_.zone, self_.topology, allowed, ended);
+            const auto follows_configuration = [this](const Grant& grant) {
+                return followsConfiguration(grant);
+            };
+            dispatcher =
+                std::make_unique<ServiceDispatcher>(scheduler_, http_, counters_, self_.name, self_.zone,
+                                                    self_.topology, follows_configuration, on_finished);
         }
         Millis schedule_target{1000};
         for (const Route& route : configuration_->routes) {
--- a/src/cluster/edge/message_submitter.cpp
+++ b/src/cluster/edge/message_submitter.cpp
@@ -23,15 +23,15 @@
 
 }  // namespace
 
-HttpResponse serviceUnavailable(Millis wait) {
+HttpResponse serviceUnavailable(Millis retry_after) {
     constexpr int kMillisPerSecond = 1000;
     constexpr int kFractionDigits = 3;
-    std::string digits = std::to_string(wait.count() % kMillisPerSecond);
+    std::string digits = std::to_string(retry_after.count() % kMillisPerSecond);
     digits.insert(0, kFractionDigits - digits.size(), '0');
     HttpResponse response;
     response.status = 503;
     response.headers.push_back(
-        {"Retry-After", std::to_string(wait.count() / kMillisPerSecond) + "." + digits});
+        {"Retry-After", std::to_string(retry_after.count() / kMillisPerSecond) + "." + digits});
     return response;
 }
 
--- a/src/cluster/edge/message_submitter.hpp
+++ b/src/cluster/edge/message_submitter.hpp
@@ -20,7 +20,7 @@
 namespace amberswitch::cluster {
 
 // Returns a 503 response with Retry-After in fractional seconds: the request had no effect.
-HttpResponse serviceUnavailable(Millis owner_wait_timer = Millis(100));
+HttpResponse serviceUnavailable(Millis retry_after = Millis(100));
 
 class MessageSubmitter {
 public:
--- a/src/cluster/edge/server_subset.cpp
+++ b/src/cluster/edge/server_subset.cpp
@@ -11,8 +11,8 @@
 constexpr double kMaxRegionShare = 0.75;
 constexpr double kPlannedRegionShare = 0.5;
 constexpr double kMaxRemoteShare = 0.25;
-constexpr std::uint64_t kMinServers = 2;  // in a subset, so that one may fail
-constexpr std::uint64_t kRemoteServers = 1;
+constexpr std::uint64_t kMinServers = 2;     // in a subset, so that one may fail
+constexpr std::uint64_t kRemoteServers = 1;  // per edge, if its own region has servers
 
 using Indices = std::vector<std::size_t>;
 
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -383,18 +383,19 @@
     delivery.all_unreachable = delivery.all_unreachable && answer.unreachable;
     const bool tried_all = delivery.sends >= available_servers_;
     const DeliveryResult result{answer.outcome, answer.stamp, tried_all && delivery.all_unreachable};
-    const bool goes_on = answer.try_elsewhere && !delivery.given_up &&
-                         module_generation == module_generation_ && follows_configuration_(delivery.grant);
+    const bool try_next_server = answer.try_elsewhere && !delivery.given_up &&
+                                 module_generation == module_generation_ &&
+                                 follows_configuration_(delivery.grant);
     if (module_generation == module_generation_) {
         heronmount::AttemptEnded ended;
         ended.id = id;
         ended.attempt = attempt;
         ended.outcome = answer.server_outcome;
         ended.took = scheduler_.now() - delivery.sent_at;
-        ended.settled = !goes_on;
+        ended.settled = !try_next_server;
         notifyModule(ended);
     }
-    if (!goes_on) finish(id, result);
+    if (!try_next_server) finish(id, result);
     startQueued();
 }
 
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -32,8 +32,8 @@
 }
 
 // A random deployment: regions with zones, zones with stores, and partitions owned by random stores.
-struct DrawnDeployment {
-    explicit DrawnDeployment(std::uint64_t seed) : random(seed) {
+struct RandomDeployment {
+    explicit RandomDeployment(std::uint64_t seed) : random(seed) {
         std::map<std::string, std::string> region_of_zone;
         const std::size_t regions = draw(1, 4);
         for (std::size_t region = 0; region < regions; ++region) {
@@ -97,16 +97,16 @@
 TEST_CASE("an edge asks one of the nearest owners, and farther ones only if no nearer one is left") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const std::string zone = drawn.zones[drawn.draw(0, drawn.zones.size() - 1)];
-        PartitionMap partitions(zone, drawn.topology);
-        partitions.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const std::string zone = deployment.zones[deployment.draw(0, deployment.zones.size() - 1)];
+        PartitionMap partitions(zone, deployment.topology);
+        partitions.update(deployment.shared());
         std::set<NodeAddress> tried;
         Distance last = Distance::same_zone;
-        while (const auto partition = partitions.pickPartition(drawn.random, tried)) {
+        while (const auto partition = partitions.pickPartition(deployment.random, tried)) {
             const StoreMember* const owner = partitions.owner(*partition);
             REQUIRE(owner != nullptr);
-            const Distance distance = drawn.topology.distanceBetween(zone, owner->member.zone);
+            const Distance distance = deployment.topology.distanceBetween(zone, owner->member.zone);
             CHECK(distance >= last);
             last = distance;
             tried.insert(owner->member.address);
@@ -122,26 +122,26 @@
     "copies go to the nearest stores that keep copies, and a store that leaves moves only its own copies") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const Member self = drawn.view.stores[0].member;
-        Placement placement(self.name, self.zone, drawn.topology);
-        placement.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const Member self = deployment.view.stores[0].member;
+        Placement placement(self.name, self.zone, deployment.topology);
+        placement.update(deployment.shared());
         for (PartitionId partition = 0; partition < kPartitions; ++partition) {
             const std::vector<std::string> order = placement.replicaOrder(partition);
             CHECK(order.size() == placement.otherKeepers());
             Distance last = Distance::same_zone;
             for (const std::string& name : order) {
                 const Distance distance =
-                    drawn.topology.distanceBetween(self.zone, drawn.store(name).member.zone);
+                    deployment.topology.distanceBetween(self.zone, deployment.store(name).member.zone);
                 CHECK(distance >= last);
                 last = distance;
             }
             if (order.empty()) continue;
-            DrawnDeployment without = drawn;
+            RandomDeployment without = deployment;
             for (StoreMember& store : without.view.stores) {
                 if (store.member.name == order.front()) store.alive = false;
             }
-            Placement after(self.name, self.zone, drawn.topology);
+            Placement after(self.name, self.zone, deployment.topology);
             after.update(without.shared());
             CHECK(after.replicaOrder(partition) == std::vector<std::string>(order.begin() + 1, order.end()));
         }
@@ -270,15 +270,15 @@
     int spread = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const Member self = drawn.view.stores[0].member;
-        const FaultTolerance tolerance{2, static_cast<std::uint32_t>(drawn.draw(0, 2)),
-                                       static_cast<std::uint32_t>(drawn.draw(0, 1))};
-        drawn.view.tolerated = 2;
-        Placement placement(self.name, self.zone, drawn.topology, tolerance);
-        placement.update(drawn.shared());
-        Placement near(self.name, self.zone, drawn.topology);
-        near.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const Member self = deployment.view.stores[0].member;
+        const FaultTolerance tolerance{2, static_cast<std::uint32_t>(deployment.draw(0, 2)),
+                                       static_cast<std::uint32_t>(deployment.draw(0, 1))};
+        deployment.view.tolerated = 2;
+        Placement placement(self.name, self.zone, deployment.topology, tolerance);
+        placement.update(deployment.shared());
+        Placement near(self.name, self.zone, deployment.topology);
+        near.update(deployment.shared());
         for (PartitionId partition = 0; partition < kPartitions; ++partition) {
             const std::vector<std::string> order = placement.replicaOrder(partition);
             const std::vector<std::string> by_distance = near.replicaOrder(partition);
--- a/tests/cluster/edge_store_pending_test.cpp
+++ b/tests/cluster/edge_store_pending_test.cpp
@@ -38,7 +38,7 @@
     fixture.submit("plain", {}, kind > 0.75, delay_ms);
 }
 
-void trafficFor(EdgeStoreFixture& fixture, Millis span) {
+void runTrafficFor(EdgeStoreFixture& fixture, Millis span) {
     const SteadyTime end = fixture.world().now() + span;
     while (fixture.world().now() < end) {
         submitOne(fixture);
@@ -154,8 +154,8 @@
     const std::set<std::string> active = activeSince(fixture, healed);
     std::string stuck;
     for (const auto& [id, message] : fixture.messages) {
-        const bool owed = message.status == 202 && message.sent + Millis(message.delay_ms) < healed;
-        if (!owed || message.ended || active.contains(id) || active.contains(message.order_key)) continue;
+        const bool due = message.status == 202 && message.sent + Millis(message.delay_ms) < healed;
+        if (!due || message.ended || active.contains(id) || active.contains(message.order_key)) continue;
         stuck += id + " of " + message.route + " " + message.order_key + "\n";
     }
     INFO("seed " << seed << " fault " << fault);
@@ -176,16 +176,16 @@
     EdgeStoreFixture fixture(seed, 3);
     fixture.servers.failure_rate = 0.03;
     fixture.servers.lost_answer_rate = 0.02;
-    trafficFor(fixture, Millis(1500));
+    runTrafficFor(fixture, Millis(1500));
     Fault fault = first_fault;
     for (int round = 0; round < rounds; ++round) {
         InjectedFault injected(fixture, fault);
         const Millis span = seed % 3 == 0 ? Millis(20'000) : Millis(300) + randomSpan(fixture, Millis(4000));
         injected.begin(span);
         const Millis detection_delay = std::min(span, Millis(1000) + randomSpan(fixture, Millis(300)));
-        trafficFor(fixture, detection_delay);
+        runTrafficFor(fixture, detection_delay);
         fixture.changeView();
-        if (span > detection_delay) trafficFor(fixture, span - detection_delay);
+        if (span > detection_delay) runTrafficFor(fixture, span - detection_delay);
         injected.end();
         const auto kinds = static_cast<std::uint64_t>(Fault::count);
         fault = static_cast<Fault>(fixture.world().random()() % kinds);
--- a/tests/cluster/edge_store_test.cpp
+++ b/tests/cluster/edge_store_test.cpp
@@ -18,7 +18,7 @@
     fixture.submit("plain", {}, kind > 0.8);
 }
 
-void traffic(EdgeStoreFixture& fixture, int messages) {
+void runTraffic(EdgeStoreFixture& fixture, int messages) {
     for (int i = 0; i < messages; ++i) {
         submitOne(fixture);
         fixture.world().run(Millis(static_cast<std::int64_t>(fixture.world().chance() * 12)));
@@ -56,7 +56,7 @@
         fixture.servers.failure_rate = 0.05;
         fixture.servers.rejection_rate = 0.02;
         fixture.servers.full_rate = 0.05;
-        traffic(fixture, 400);
+        runTraffic(fixture, 400);
         fixture.world().run(Millis(20'000));
         fixture.check();
         INFO("seed " << seed);
@@ -72,7 +72,7 @@
         EdgeStoreFixture fixture(seed, 3);
         fixture.servers.lost_answer_rate = 0.1;
         fixture.servers.failure_rate = 0.05;
-        traffic(fixture, 300);
+        runTraffic(fixture, 300);
         fixture.world().run(Millis(25'000));
         fixture.check();
         INFO("seed " << seed);
@@ -87,15 +87,15 @@
     int unclear = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         StoreMachine& victim = *fixture.stores.machines[seed % 3];
         fixture.stores.stop(victim);
-        traffic(fixture, 100);  // no view reflects the death of the store yet
+        runTraffic(fixture, 100);  // no view reflects the death of the store yet
         fixture.changeView();
-        traffic(fixture, 150);
+        runTraffic(fixture, 150);
         fixture.stores.start(victim);
         fixture.changeView();
-        traffic(fixture, 150);
+        runTraffic(fixture, 150);
         fixture.world().run(Millis(25'000));
         fixture.check();
         INFO("seed " << seed);
@@ -112,21 +112,21 @@
 TEST_CASE("a store shuts down gracefully: nothing runs twice") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         StoreMachine& leaver = *fixture.stores.machines[seed % 3];
         leaver.leaving = true;
         bool left = false;
         leaver.process->node->leave([&] { left = true; });
         fixture.changeView();
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         fixture.world().runUntil([&] { return left; }, Millis(6000));
         CHECK(left);
         fixture.stores.stop(leaver);
         fixture.changeView();
-        traffic(fixture, 100);
+        runTraffic(fixture, 100);
         fixture.stores.start(leaver);
         fixture.changeView();
-        traffic(fixture, 100);
+        runTraffic(fixture, 100);
         fixture.world().run(Millis(25'000));
         fixture.check();
         INFO("seed " << seed);
@@ -139,11 +139,11 @@
 TEST_CASE("an edge is killed and restarted") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         fixture.killEdge(seed % 3);
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         fixture.startEdge(seed % 3);
-        traffic(fixture, 100);
+        runTraffic(fixture, 100);
         fixture.world().run(Millis(25'000));
         fixture.check();
         INFO("seed " << seed);
@@ -155,7 +155,7 @@
 TEST_CASE("an edge shuts down gracefully: its clients are answered and nothing runs twice") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
-        traffic(fixture, 200);
+        runTraffic(fixture, 200);
         const std::size_t leaver = seed % 3;
         bool left = false;
         fixture.edges[leaver].node->leave([&] {
@@ -163,10 +163,10 @@
             fixture.edges[leaver].scheduler->post(
                 [&] { fixture.killEdge(leaver); });  // simulates the exit of the process
         });
-        traffic(fixture, 600);  // some messages go to the leaving edge until it has left
+        runTraffic(fixture, 600);  // some messages go to the leaving edge until it has left
         CHECK(left);
         fixture.startEdge(leaver);
-        traffic(fixture, 100);
+        runTraffic(fixture, 100);
         fixture.world().run(Millis(25'000));
         fixture.check();
         INFO("seed " << seed);
@@ -180,7 +180,7 @@
 TEST_CASE("a call-back receiver is down for a while") {
     EdgeStoreFixture fixture(5, 3);
     fixture.servers.receiver_down = true;
-    traffic(fixture, 300);
+    runTraffic(fixture, 300);
     fixture.world().run(Millis(12'000));
     fixture.servers.receiver_down = false;
     fixture.world().run(Millis(20'000));
@@ -214,7 +214,7 @@
 TEST_CASE("the edges that send call-backs to a receiver are killed: others send them") {
     EdgeStoreFixture fixture(1, 60);
     fixture.servers.max_receiver_connections = 64;
-    traffic(fixture, 300);
+    runTraffic(fixture, 300);
     int killed = 0;
     for (std::size_t index = 0; index < fixture.edges.size() && killed < 8; ++index) {
         if (fixture.edges[index].http->receiverConnections() == 0) continue;
@@ -222,7 +222,7 @@
         ++killed;
     }
     REQUIRE(killed > 0);
-    traffic(fixture, 600);
+    runTraffic(fixture, 600);
     fixture.world().run(Millis(25'000));
     fixture.check();
     CHECK(fixture.unfinished() == 0);
@@ -257,7 +257,7 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         EdgeStoreFixture fixture(seed, 3);
         fixture.stores.network.loss = 0.01;
-        traffic(fixture, 400);
+        runTraffic(fixture, 400);
         fixture.stores.network.loss = 0;
         fixture.world().run(Millis(25'000));
         fixture.check();
@@ -303,7 +303,7 @@
         fixture.servers.rejection_rate = 0.02;
         fixture.servers.full_rate = 0.05;
         limitByQuota(fixture, Millis(75), fixture.world().now() + Millis(30'000));
-        traffic(fixture, 300);
+        runTraffic(fixture, 300);
         fixture.world().run(Millis(40'000));
         fixture.check();
         CHECK(fixture.accepted() > 250);
--- a/tests/cluster/edge_store_world.hpp
+++ b/tests/cluster/edge_store_world.hpp
@@ -45,6 +45,7 @@
     std::string state;  // as returned by the final state query
 };
 
+// How the simulated servers and the call-back receiver behave; rates are probabilities per request.
 struct ServerBehavior {
     double lost_answer_rate = 0;
     double failure_rate = 0;
