--- a/src/cluster/edge/deliveries.cpp
+++ b/src/cluster/edge/deliveries.cpp
@@ -180,7 +180,7 @@
     reports_.add(std::move(report));
 }
 
-// The owner must know the result of the run before it is told of the call-back.
+// The owner must know the result of the run before it gets the result of the call-back.
 bool Deliveries::mayReport(const RunResult& result) {
     if (!isCallbackOutcome(result.outcome)) return true;
     const HeldGrant* const entry = grants_.find({result.partition, result.id});
--- a/tests/cluster/edge_delivery_test.cpp
+++ b/tests/cluster/edge_delivery_test.cpp
@@ -359,9 +359,9 @@
     world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 310; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
-    const std::vector<bool> taken = world.push(0, grants);
-    REQUIRE(taken.size() == 310);
-    CHECK(std::count(taken.begin(), taken.end(), true) == 300);
+    const std::vector<bool> accepted = world.push(0, grants);
+    REQUIRE(accepted.size() == 310);
+    CHECK(std::count(accepted.begin(), accepted.end(), true) == 300);
     // A message is still accepted, but this edge does not ask for its grant.
     CHECK(world.statusOf(world.request("/plain/x", "more")) == 202);
     CHECK_FALSE(world.stores[0]->accepts.at(0).wants_grant);
--- a/tests/cluster/edge_report_test.cpp
+++ b/tests/cluster/edge_report_test.cpp
@@ -60,12 +60,12 @@
     EdgeWorld world(7);
     world.provideAll();
     world.network.loss = 0.3;
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     for (std::uint64_t i = 0; i < 40; ++i) {
         // The store treats a lost answer as a refused grant, as an owner does.
         const std::string id = "id-" + std::to_string(i);
         const std::vector<bool> answer = world.push(0, {world.grant(id)});
-        taken += !answer.empty() && answer[0];
+        accepted += !answer.empty() && answer[0];
         world.world.run(Millis(500));
     }
     world.network.loss = 0;
@@ -76,7 +76,7 @@
     std::map<std::string, int> reported;
     for (const RunResult& result : world.results()) ++reported[result.id];
     CHECK(reported.size() == sends.size());
-    CHECK(sends.size() >= taken);
+    CHECK(sends.size() >= accepted);
 }
 
 TEST_CASE("every live store gets the running attempts with each view and every second") {
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -131,14 +131,14 @@
     const NodeAddress& address() const { return address_; }
 
     std::vector<bool> push(World& world, const NodeAddress& edge, GrantPush grants) {
-        std::vector<bool> taken;
+        std::vector<bool> accepted;
         transport_->call(edge, envelope(MessageKind::grant_push, grants), Millis(500),
                          [&](const CallResult& result) {
                              if (const auto answered = decode<GrantPushReply>(result.reply.body))
-                                 taken = answered->accepted;
+                                 accepted = answered->accepted;
                          });
         world.run(Millis(20));
-        return taken;
+        return accepted;
     }
 
 private:
