--- a/src/cluster/edge/run_reports.hpp
+++ b/src/cluster/edge/run_reports.hpp
@@ -1,5 +1,6 @@
-// Tells owners how runs ended. Results are kept until the owner of the partition, by the newest view, has
-// taken them. At most one call to an owner is open; what comes meanwhile forms the next one.
+// Reports the results of runs to the owners of partitions. A result is kept until the owner according to the
+// newest view has acknowledged it. At most one call per owner is open; results added meanwhile form the next
+// batch.
 #pragma once
 
 #include <deque>
@@ -15,29 +16,30 @@
 
 class RunReports {
 public:
-    using MaySend = std::function<bool(const RunResult&)>;
-    using Taken = std::function<void(const RunResult&)>;
+    using SendFilter = std::function<bool(const RunResult&)>;
+    using AcknowledgedHandler = std::function<void(const RunResult&)>;
 
-    // `edge` and `address` name this edge in each report; `taken` is told of every result that an owner took.
-    // A result that `may_send` rejects waits until it no longer does.
+    // `edge` and `address` identify this edge in each report; `on_acknowledged` is called for every result
+    // that an owner acknowledged. A result stays queued while `may_send` returns false for it.
     RunReports(Scheduler& scheduler, Transport& transport, const PartitionMap& partitions,
-               EdgeCounters& counters, std::string edge, NodeAddress address, MaySend may_send, Taken taken);
+               EdgeCounters& counters, std::string edge, NodeAddress address, SendFilter may_send,
+               AcknowledgedHandler on_acknowledged);
 
     void add(RunResult result);
-    // A newer view: results that waited for an owner go out at once.
+    // Handles a newer view: results that waited for a retry are sent at once.
     void onView();
-    // Results that no owner has taken yet.
-    std::size_t pending() const { return waiting_.size() + in_flight_; }
+    // Results that no owner has acknowledged yet.
+    std::size_t pending() const { return pending_.size() + in_flight_; }
 
 private:
-    struct Waiting {
+    struct PendingResult {
         RunResult result;
         SteadyTime not_before{};
     };
 
     void flush();
     void send(const NodeAddress& owner, std::vector<RunResult> batch);
-    void settle(const NodeAddress& owner, std::vector<RunResult> batch, const CallResult& result);
+    void onReply(const NodeAddress& owner, std::vector<RunResult> batch, const CallResult& result);
     void armRetry();
 
     Scheduler& scheduler_;
@@ -46,12 +48,12 @@
     EdgeCounters& counters_;
     std::string edge_;
     NodeAddress address_;
-    MaySend may_send_;
-    Taken taken_;
-    std::deque<Waiting> waiting_;
+    SendFilter may_send_;
+    AcknowledgedHandler on_acknowledged_;
+    std::deque<PendingResult> pending_;
     std::size_t in_flight_ = 0;
-    std::set<NodeAddress> busy_;  // owners with an open call
-    TimerHandle retry_;
+    std::set<NodeAddress> busy_owners_;  // owners with an open call
+    TimerHandle retry_timer_;
 };
 
 }  // namespace amberswitch::cluster
--- a/src/cluster/edge/service_dispatcher.hpp
+++ b/src/cluster/edge/service_dispatcher.hpp
@@ -1,6 +1,6 @@
 // Delivers the granted attempts of one service. The decision module (heronmount) picks the server of each
-// send; this class feeds it, carries out what it asks for and keeps to the promise of a grant: one attempt
-// that may have run.
+// send; this class passes events to it, executes its actions and enforces the rule of a grant: at most one
+// attempt that may have run.
 #pragma once
 
 #include <deque>
@@ -33,49 +33,51 @@
 
 class ServiceDispatcher {
 public:
-    // Told once for each grant, possibly before begin() returns.
-    using Finished = std::function<void(Grant grant, DeliveryResult result)>;
+    // Called once for each grant, possibly before start() returns.
+    using FinishedHandler = std::function<void(Grant grant, DeliveryResult result)>;
 
-    // Whether the newest configuration sends that message to this service.
-    using Allowed = std::function<bool(const Grant& grant)>;
+    // Whether the newest configuration routes the message of the grant to this service.
+    using RouteCheck = std::function<bool(const Grant& grant)>;
 
-    // `edge` and `zone` are those of this process.
+    // `edge` and `zone`: the name and the zone of this process.
     ServiceDispatcher(Scheduler& scheduler, HttpClient& servers, EdgeCounters& counters, std::string edge,
-                      std::string zone, Topology topology, Allowed allowed, Finished finished);
+                      std::string zone, Topology topology, RouteCheck follows_configuration,
+                      FinishedHandler on_finished);
 
-    // The service as the newest configuration has it; `schedule_target`: of a route that leads to it.
-    // `share`: of this dispatcher among those that share its servers. setServers() is to follow.
+    // Applies the service's settings in the newest configuration. `schedule_target`: of a route to the
+    // service; `share`: of this edge among those that share the servers. The caller calls setServers()
+    // afterwards.
     void setService(const Service& service, Millis schedule_target, EdgeShare share);
-    // The servers that are listed for this service now; ignored where the service has an endpoint of its own.
+    // Sets the currently listed servers of the service; ignored if the service has a static endpoint.
     void setServers(const std::vector<const ServerEntry*>& listed);
 
-    void begin(Grant grant);
-    // Gives up all attempts that have not begun, as not_run.
+    void start(Grant grant);
+    // Ends all deliveries without an attempt in flight as not_run.
     void handBackWaiting();
-    // The same for those of messages that the newest configuration sends to another service, or nowhere.
+    // Does the same for messages that the newest configuration routes to another service or to none.
     void handBackMisdirected();
-    // Grants that have no result yet.
-    std::size_t open() const { return deliveries_.size(); }
-    bool hasServer() const { return servers_on_ > 0; }
-    // False for an endpoint to which no connection is open.
+    // Grants without a result.
+    std::size_t openCount() const { return deliveries_.size(); }
+    bool hasServer() const { return usable_servers_ > 0; }
+    // Returns false for a static endpoint to which no connection is open.
     bool isConnected() const;
 
 private:
     struct Server {
-        std::string uid;  // empty: the service's own endpoint
+        std::string uid;  // empty for the service's static endpoint
         NodeAddress address;
-        bool on = false;
+        bool usable = false;
         std::uint32_t in_flight = 0;
         heronmount::RosterEntry entry;
     };
     struct Delivery {
         Grant grant;
-        bool told = false;  // the module knows it
+        bool known_to_module = false;
         bool in_flight = false;
-        bool given_up = false;  // by the module, while an attempt is out
+        bool given_up = false;  // by the module, while an attempt is in flight
         bool all_unreachable = true;
         bool may_have_run = false;
-        std::uint32_t sends = 0;  // that the module asked for
+        std::uint32_t sends = 0;  // requested by the module
         SteadyTime sent_at{};
         SteadyTime queued_until{};
     };
@@ -86,19 +88,19 @@
     std::set<std::string> chooseUsable(const std::vector<const ServerEntry*>& listed);
     bool updateServer(const std::string& uid, const ServerEntry& entry, bool usable);
     int zoneIndex(const std::string& zone);
-    void tellRoster();
+    void sendRoster();
 
-    void arrive(heronmount::RequestId id);
-    void beginQueued();
-    bool room() const;
-    void tell(heronmount::Event event);
-    void carryOut(const heronmount::Action& action);
+    void submitToModule(heronmount::RequestId id);
+    void startQueued();
+    bool hasRoom() const;
+    void notifyModule(heronmount::Event event);
+    void execute(const heronmount::Action& action);
     void send(const heronmount::Send& action);
     void post(heronmount::RequestId id, Delivery& delivery, heronmount::Worker worker);
     HttpRequest requestFor(const Grant& grant, const std::string& uid) const;
-    void answered(heronmount::RequestId id, heronmount::Worker worker, std::uint64_t module_number,
-                  std::uint32_t attempt, const HttpOutcome& outcome);
-    void givenUp(heronmount::RequestId id);
+    void onOutcome(heronmount::RequestId id, heronmount::Worker worker, std::uint64_t module_generation,
+                   std::uint32_t attempt, const HttpOutcome& outcome);
+    void onGivenUp(heronmount::RequestId id);
     void handBack(const std::vector<heronmount::RequestId>& waiting, const DeliveryResult& result);
     void finish(heronmount::RequestId id, DeliveryResult result);
     void count(const HttpOutcome& outcome, const DeliveryAnswer& answer);
@@ -110,34 +112,35 @@
     std::string edge_;
     std::string zone_;
     Topology topology_;
-    Allowed allowed_;
-    Finished finished_;
+    RouteCheck follows_configuration_;
+    FinishedHandler on_finished_;
 
     Service service_;
     Millis schedule_target_{1000};
     EdgeShare share_;
-    std::uint32_t connections_each_ = 1;  // to each server that is on
+    std::uint32_t connections_per_server_ = 1;  // to each usable server
 
     std::unique_ptr<heronmount::Dispatcher> module_;
-    std::uint64_t module_number_ = 0;  // counts rebuilds
-    std::uint32_t module_edges_ = 0;   // that it was built with
+    std::uint64_t module_generation_ = 0;  // incremented by each rebuild
+    std::uint32_t module_edges_ = 0;       // the number of edges that module_ was built with
     std::uint32_t module_attempts_ = 0;
-    ModuleTimers timers_;
-    std::deque<heronmount::Event> inbox_;
+    ModuleTimers module_timers_;
+    std::deque<heronmount::Event> pending_events_;
     std::vector<heronmount::Action> actions_;
-    bool turning_ = false;
+    bool processing_events_ = false;
 
-    std::vector<Server> servers_;  // by handle; those that are gone stay as `off`
+    std::vector<Server> servers_;  // by handle; servers no longer listed stay, as Standing::off
     std::unordered_map<std::string, heronmount::Worker> handles_;
     std::unordered_map<std::string, int> zones_;
-    std::size_t servers_on_ = 0;
-    std::size_t servers_ready_ = 0;  // listed and not draining, whether this dispatcher may use them or not
+    std::size_t usable_servers_ = 0;
+    // Listed and not draining, including those outside this edge's subset.
+    std::size_t available_servers_ = 0;
 
     std::unordered_map<heronmount::RequestId, Delivery> deliveries_;
-    std::deque<heronmount::RequestId> queued_;  // wait for a free connection, unknown to the module
+    std::deque<heronmount::RequestId> queued_;  // waiting for a free connection, not known to the module
     TimerHandle queue_timer_;
     heronmount::RequestId last_id_ = 0;
-    std::size_t in_module_ = 0;  // deliveries that the module knows
+    std::size_t requests_in_module_ = 0;
 };
 
 }  // namespace amberswitch::cluster
--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -128,7 +128,7 @@
         CHECK(stores.play.unfinished() == 0);
         CHECK(stores.arrivals("servers") == 0);
         CHECK(stores.arrivals("board") == 3);
-        CHECK(stores.play.faultText() == "");
+        CHECK(stores.play.violationText() == "");
     }
 }
 
@@ -201,7 +201,7 @@
         stores.play.world.run(Millis(3000));
         CHECK(stores.runsOf(first) == 1);
         CHECK(stores.runsOf(second) == 1);
-        CHECK_MESSAGE(stores.play.ledger.faults.empty(), stores.play.faultText());
+        CHECK_MESSAGE(stores.play.ledger.faults.empty(), stores.play.violationText());
     }
 }
 
@@ -279,7 +279,7 @@
         play.world.run(Millis(15'000));
         CHECK(misdirected == 0);
         CHECK(stores.pendingMessages() == 0);
-        CHECK(play.faultText() == "");
+        CHECK(play.violationText() == "");
     }
 }
 
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -1,4 +1,5 @@
-// Near before far: which owner an edge asks, which stores hold copies, which edge is granted a run.
+// Tests choices by distance: the owner an edge asks, the stores that hold copies, and the edge that is
+// granted a run.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -15,7 +16,7 @@
 #include "cluster/common/topology.hpp"
 #include "cluster/common/traffic_meter.hpp"
 #include "cluster/edge/partition_map.hpp"
-#include "cluster/storage/edge_registry.hpp"
+#include "cluster/storage/edges.hpp"
 #include "cluster/storage/placement.hpp"
 
 using namespace amberswitch::cluster;
@@ -30,9 +31,9 @@
     return Topology({{"east-a", "east"}, {"east-b", "east"}, {"west-a", "west"}});
 }
 
-// A drawn deployment: regions, zones in them, stores in those, and partitions owned by drawn stores.
-struct DrawnDeployment {
-    explicit DrawnDeployment(std::uint64_t seed) : random(seed) {
+// A random deployment: regions with zones, zones with stores, and partitions owned by random stores.
+struct RandomDeployment {
+    explicit RandomDeployment(std::uint64_t seed) : random(seed) {
         std::map<std::string, std::string> region_of_zone;
         const std::size_t regions = draw(1, 4);
         for (std::size_t region = 0; region < regions; ++region) {
@@ -77,7 +78,7 @@
 
 }  // namespace
 
-TEST_CASE("the own zone is nearer than its region, and that one nearer than another region") {
+TEST_CASE("the same zone is nearer than the same region, which is nearer than another region") {
     const Topology topology = twoRegions();
     CHECK(topology.distanceBetween("east-a", "east-a") == Distance::same_zone);
     CHECK(topology.distanceBetween("east-a", "east-b") == Distance::same_region);
@@ -93,19 +94,19 @@
     CHECK(twoRegions().distanceBetween("east-a", "nowhere") == Distance::other_region);
 }
 
-TEST_CASE("an edge asks one of the nearest owners, and farther ones only where no nearer one is left") {
+TEST_CASE("an edge asks one of the nearest owners, and farther ones only if no nearer one is left") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const std::string zone = drawn.zones[drawn.draw(0, drawn.zones.size() - 1)];
-        PartitionMap partitions(zone, drawn.topology);
-        partitions.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const std::string zone = deployment.zones[deployment.draw(0, deployment.zones.size() - 1)];
+        PartitionMap partitions(zone, deployment.topology);
+        partitions.update(deployment.shared());
         std::set<NodeAddress> tried;
         Distance last = Distance::same_zone;
-        while (const auto partition = partitions.pick(drawn.random, tried)) {
+        while (const auto partition = partitions.pickPartition(deployment.random, tried)) {
             const StoreMember* const owner = partitions.owner(*partition);
             REQUIRE(owner != nullptr);
-            const Distance distance = drawn.topology.distanceBetween(zone, owner->member.zone);
+            const Distance distance = deployment.topology.distanceBetween(zone, owner->member.zone);
             CHECK(distance >= last);
             last = distance;
             tried.insert(owner->member.address);
@@ -117,29 +118,30 @@
     }
 }
 
-TEST_CASE("copies go to the nearest stores that keep copies, and a store that leaves moves only its own") {
+TEST_CASE(
+    "copies go to the nearest stores that keep copies, and a store that leaves moves only its own copies") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const Member self = drawn.view.stores[0].member;
-        Placement placement(self.name, self.zone, drawn.topology);
-        placement.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const Member self = deployment.view.stores[0].member;
+        Placement placement(self.name, self.zone, deployment.topology);
+        placement.update(deployment.shared());
         for (PartitionId partition = 0; partition < kPartitions; ++partition) {
             const std::vector<std::string> order = placement.replicaOrder(partition);
             CHECK(order.size() == placement.otherCopyStoreCount());
             Distance last = Distance::same_zone;
             for (const std::string& name : order) {
                 const Distance distance =
-                    drawn.topology.distanceBetween(self.zone, drawn.store(name).member.zone);
+                    deployment.topology.distanceBetween(self.zone, deployment.store(name).member.zone);
                 CHECK(distance >= last);
                 last = distance;
             }
             if (order.empty()) continue;
-            DrawnDeployment without = drawn;
+            RandomDeployment without = deployment;
             for (StoreMember& store : without.view.stores) {
                 if (store.member.name == order.front()) store.alive = false;
             }
-            Placement after(self.name, self.zone, drawn.topology);
+            Placement after(self.name, self.zone, deployment.topology);
             after.update(without.shared());
             CHECK(after.replicaOrder(partition) == std::vector<std::string>(order.begin() + 1, order.end()));
         }
@@ -149,7 +151,7 @@
 TEST_CASE("the next run goes to the nearest edge that may take one") {
     EdgeRegistry edges("east-a", twoRegions(), 1);
     const auto add = [&edges](const std::string& name, const std::string& zone) {
-        Edge& edge = edges.recordContact(name, {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.heard(name, {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zone;
     };
@@ -168,19 +170,19 @@
 constexpr int kManyEdges = 60;
 constexpr std::size_t kSenders = 8;
 
-// Of a store in that zone, which knows edges in three zones of two regions.
+// The edges known to a store in `zone`: kManyEdges edges in three zones of two regions.
 EdgeRegistry manyEdges(const std::string& zone, std::uint64_t seed) {
     EdgeRegistry edges(zone, twoRegions(), seed);
     const std::vector<std::string> zones{"east-a", "east-b", "west-a"};
     for (int i = 0; i < kManyEdges; ++i) {
-        Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zones[static_cast<std::size_t>(i) % zones.size()];
     }
     return edges;
 }
 
-// Those that the store chooses for as many call-backs that are all under way.
+// Returns the senders that the store chooses for `callbacks` call-backs that are all in progress.
 std::set<std::string> sendersOf(EdgeRegistry& edges, const std::string& receiver, std::size_t callbacks) {
     std::vector<QueueItem> items(callbacks);
     std::set<std::string> senders;
@@ -205,7 +207,7 @@
     CHECK(sendersOf(east, "10.9.0.2:80", 3 * kSenders) != senders);
 }
 
-TEST_CASE("a call-back goes to the nearest sender that is as free as the others") {
+TEST_CASE("a call-back goes to the nearest of the equally loaded senders") {
     EdgeRegistry edges = manyEdges("east-a", 1);
     const std::set<std::string> senders = sendersOf(edges, "10.9.0.1:80", kSenders);
     const auto distanceOf = [&](const std::string& name) {
@@ -218,7 +220,7 @@
     }
 }
 
-TEST_CASE("senders that have gone are replaced, those that may take nothing are not used") {
+TEST_CASE("senders that have left are replaced, and unusable ones are not used") {
     EdgeRegistry edges = manyEdges("east-a", 1);
     const std::set<std::string> before = sendersOf(edges, "10.9.0.1:80", 3 * kSenders);
     edges.find(*before.begin())->usable = false;
@@ -233,7 +235,7 @@
     CHECK_FALSE(after.contains(edges.chooseSender("10.9.0.1:80", kSenders, kNow)->name));
 }
 
-TEST_CASE("at most half of a receiver's connections are planned with where edges are many") {
+TEST_CASE("with many edges, at most half of a receiver's connections are planned for use") {
     CHECK(planCallbacks(8).all_send);
     CHECK(planCallbacks(8).connections_per_sender == 8);
     CHECK(planCallbacks(20).connections_per_sender == 3);
@@ -253,9 +255,9 @@
     locations.setZone(far, "west-a");
     TrafficMeter meter;
     const auto kind = static_cast<std::uint16_t>(MessageKind::accept_message);
-    meter.countCall(kind, locations.distanceTo(near), 100);
-    meter.countCall(kind, locations.distanceTo(far), 200);
-    meter.countCall(kind, locations.distanceTo(far), 200);
+    meter.count(kind, locations.distanceTo(near), 100);
+    meter.count(kind, locations.distanceTo(far), 200);
+    meter.count(kind, locations.distanceTo(far), 200);
     meter.countReply(kind, locations.distanceTo(far), 10);
     const std::string text = meter.text();
     CHECK(text.find("traffic_accept_message_same_zone_calls 1\n") != std::string::npos);
@@ -264,19 +266,19 @@
     CHECK(text.find("traffic_accept_message_other_region_bytes 455\n") != std::string::npos);
 }
 
-TEST_CASE("copies are spread over zones and regions as far as these may be lost, and near otherwise") {
+TEST_CASE("copies are spread over as many zones and regions as may be lost, and near otherwise") {
     int spread = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         CAPTURE(seed);
-        DrawnDeployment drawn(seed);
-        const Member self = drawn.view.stores[0].member;
-        const FaultTolerance tolerance{2, static_cast<std::uint32_t>(drawn.draw(0, 2)),
-                                       static_cast<std::uint32_t>(drawn.draw(0, 1))};
-        drawn.view.tolerated = 2;
-        Placement placement(self.name, self.zone, drawn.topology, tolerance);
-        placement.update(drawn.shared());
-        Placement near(self.name, self.zone, drawn.topology);
-        near.update(drawn.shared());
+        RandomDeployment deployment(seed);
+        const Member self = deployment.view.stores[0].member;
+        const FaultTolerance tolerance{2, static_cast<std::uint32_t>(deployment.draw(0, 2)),
+                                       static_cast<std::uint32_t>(deployment.draw(0, 1))};
+        deployment.view.tolerated = 2;
+        Placement placement(self.name, self.zone, deployment.topology, tolerance);
+        placement.update(deployment.shared());
+        Placement near(self.name, self.zone, deployment.topology);
+        near.update(deployment.shared());
         for (PartitionId partition = 0; partition < kPartitions; ++partition) {
             const std::vector<std::string> order = placement.replicaOrder(partition);
             const std::vector<std::string> by_distance = near.replicaOrder(partition);
@@ -294,7 +296,7 @@
     CHECK(spread > 100);
 }
 
-TEST_CASE("a loss of one zone is borne where the settings ask for it, and not otherwise") {
+TEST_CASE("the loss of one zone is tolerated only if the settings ask for it") {
     const Topology topology = twoRegions();
     const SpreadRule zones(FaultTolerance{1, 1, 0}, topology);
     CHECK_FALSE(zones.isSpread({"east-a"}));
--- a/tests/cluster/edge_callback_test.cpp
+++ b/tests/cluster/edge_callback_test.cpp
@@ -1,4 +1,4 @@
-// Call-backs of ended messages, and the planned end of an edge.
+// Tests call-backs and the graceful shutdown of an edge.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -29,10 +29,12 @@
 
 }  // namespace
 
-TEST_CASE("a success is called back with its stamp, after the owner was told") {
+TEST_CASE("a success is called back with its stamp, after it was reported to the owner") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("st\"1"); };
+    world.provideAll();
+    world.http.script = [](const HttpCall& call) {
+        return toReceiver(call) ? answer(200) : success("st\"1");
+    };
     world.push(0, {withCallback(world, "id-1")});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 2);
@@ -50,11 +52,11 @@
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
 }
 
-TEST_CASE("a rejected message is called back as a dead letter; a failed one is the owner's to end") {
+TEST_CASE("a rejected message is called back as a dead letter; a failed one is left to the owner") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     int status = 422;
-    world.http.play = [&](const HttpCall& call) { return toReceiver(call) ? answer(400) : answer(status); };
+    world.http.script = [&](const HttpCall& call) { return toReceiver(call) ? answer(400) : answer(status); };
     world.push(0, {withCallback(world, "id-1")});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 2);
@@ -67,18 +69,19 @@
     CHECK_FALSE(world.stores[0]->results.back().callback_started);
 }
 
-TEST_CASE("the owner hears of the end before it hears of the call-back") {
+TEST_CASE("the result is acknowledged before the call-back is reported") {
     EdgeWorld world;
-    world.feed();
-    world.stores[0]->takes_reports = false;
+    world.provideAll();
+    world.stores[0]->acknowledges_reports = false;
     world.push(0, {withCallback(world, "id-1")});
-    world.http.play = [](const HttpCall&) { return answer(200, {{"Response-Stamp", "s"}}); };
+    world.http.script = [](const HttpCall&) { return answer(200, {{"Response-Stamp", "s"}}); };
     world.world.run(Millis(1000));
     CHECK(world.http.sentTo(kReceiver) == 1);
-    for (const RunResult& result : world.stores[0]->refused) CHECK(result.outcome == RunOutcome::completed);
+    for (const RunResult& result : world.stores[0]->unacknowledged)
+        CHECK(result.outcome == RunOutcome::completed);
     REQUIRE_FALSE(world.stores[0]->syncs.back().running.empty());
     CHECK_FALSE(world.stores[0]->syncs.back().running[0].callback);
-    world.stores[0]->takes_reports = true;
+    world.stores[0]->acknowledges_reports = true;
     world.world.run(Millis(300));
     REQUIRE(world.stores[0]->results.size() == 2);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::completed);
@@ -86,10 +89,10 @@
     CHECK(world.http.sentTo(kReceiver) == 1);
 }
 
-TEST_CASE("a granted call-back is delivered and not the message") {
+TEST_CASE("a granted call-back is sent without running the message") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return answer(200); };
     CHECK(world.push(0, {callbackGrant(world, "id-1")}) == std::vector<bool>{true});
     world.world.run(Millis(300));
     REQUIRE(world.http.sent.size() == 1);
@@ -98,17 +101,17 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::callback_delivered);
 }
 
-TEST_CASE("a receiver that fails is asked again with growing pauses, then the owner decides") {
+TEST_CASE("a failing receiver is retried with growing backoff, then the call-back is reported as failed") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     SUBCASE("it answers 503") {
-        world.http.play = [](const HttpCall&) { return answer(503); };
+        world.http.script = [](const HttpCall&) { return answer(503); };
     }
     SUBCASE("it is down") {
-        world.http.play = [](const HttpCall&) { return unreachable(); };
+        world.http.script = [](const HttpCall&) { return unreachable(); };
     }
-    SUBCASE("it breaks off") {
-        world.http.play = [](const HttpCall&) { return brokenOff(); };
+    SUBCASE("it breaks the connection") {
+        world.http.script = [](const HttpCall&) { return connectionLost(); };
     }
     world.push(0, {callbackGrant(world, "id-1")});
     world.world.run(Millis(7000));
@@ -122,10 +125,12 @@
     CHECK(world.stores[0]->results.size() == 1);
 }
 
-TEST_CASE("a receiver that is down holds up no other and is not stormed") {
+TEST_CASE("a receiver that is down does not delay others and gets few requests") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall& call) { return call.to == kReceiver ? unreachable() : answer(200); };
+    world.provideAll();
+    world.http.script = [](const HttpCall& call) {
+        return call.to == kReceiver ? unreachable() : answer(200);
+    };
     std::vector<Grant> grants;
     for (int i = 0; i < 50; ++i) {
         grants.push_back(callbackGrant(world, "down-" + std::to_string(i)));
@@ -135,29 +140,29 @@
     world.world.run(Millis(1000));
     CHECK(world.stores[0]->results.size() == 50);
     CHECK(world.http.sentTo(kReceiver) <= 20);
-    // It comes back: everything reaches it.
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    // Once the receiver is up again, all call-backs reach it.
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.world.run(Millis(4000));
     CHECK(world.stores[0]->results.size() == 100);
 }
 
-TEST_CASE("a receiver that resets connections after they were made is not stormed either") {
+TEST_CASE("a receiver that resets established connections gets few requests") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return brokenOff(); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return connectionLost(); };
     std::vector<Grant> grants;
     for (int i = 0; i < 50; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
     world.push(0, grants);
     world.world.run(Millis(1000));
     CHECK(world.http.sentTo(kReceiver) <= 20);
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.world.run(Millis(4000));
     CHECK(world.stores[0]->results.size() == 50);
 }
 
-TEST_CASE("a receiver gets few connections, fewer where there are many edges") {
+TEST_CASE("a receiver gets few connections per edge, fewer with many edges") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     std::size_t most = 8;
     SUBCASE("few edges") {}
     SUBCASE("many edges") {
@@ -166,18 +171,18 @@
     }
     std::vector<Grant> grants;
     for (int i = 0; i < 60; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
-    world.http.play = [](const HttpCall&) { return answer(200); };
+    world.http.script = [](const HttpCall&) { return answer(200); };
     world.push(0, grants);
     world.world.run(Millis(2000));
-    CHECK(world.http.most_open == most);
+    CHECK(world.http.max_open == most);
     CHECK(world.stores[0]->results.size() == 60);
 }
 
-TEST_CASE("where not all edges may connect to a receiver, the owner is left to grant call-backs") {
+TEST_CASE("if not all edges may connect to a receiver, the owner grants the call-backs") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({200, 200, 0});
-    world.http.play = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("s"); };
+    world.http.script = [](const HttpCall& call) { return toReceiver(call) ? answer(200) : success("s"); };
     world.push(0, {withCallback(world, "own")});
     world.world.run(Millis(300));
     CHECK(world.http.sentTo(kReceiver) == 0);
@@ -189,22 +194,22 @@
     world.push(0, grants);
     world.world.run(Millis(2000));
     CHECK(world.http.sentTo(kReceiver) == 60);
-    CHECK(world.http.most_open <= 4);
+    CHECK(world.http.max_open <= 4);
 }
 
-TEST_CASE("leaving: not ready, no new grants, what runs ends and is reported") {
+TEST_CASE("leaving: not ready, no new grants, running attempts end and are reported") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {withCallback(world, "id-1")});
     bool left = false;
     world.edge->leave([&] { left = true; });
-    CHECK_FALSE(world.edge->ready());
+    CHECK_FALSE(world.edge->isReady());
     world.world.run(Millis(20));
     for (const auto& store : world.stores) CHECK(store->syncs.back().leaving);
     CHECK(world.push(0, {world.grant("id-2")}) == std::vector<bool>{false});
-    // A client on an open connection is still served, asked to go, and its message runs elsewhere.
-    const auto response = world.ask(world.request("/plain/x", "id-3"));
+    // A client on an open connection is still served and asked to close it; its message runs on another edge.
+    const auto response = world.responseTo(world.request("/plain/x", "id-3"));
     REQUIRE(response);
     CHECK(response->status == 202);
     CHECK(response->close);
@@ -219,11 +224,11 @@
     CHECK_FALSE(world.stores[0]->results[0].callback_started);
 }
 
-TEST_CASE("leaving: what has not begun goes back at once") {
+TEST_CASE("leaving: grants that have not started go back at once") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     Grant first = world.cappedGrant("id-1");
     Grant second = world.cappedGrant("id-2");
     world.push(0, {first, second});
@@ -234,10 +239,10 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
 }
 
-TEST_CASE("leaving: call-backs that wait go back, one on its way may still be taken") {
+TEST_CASE("leaving: queued call-backs go back, those in flight may still be delivered") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (int i = 0; i < 10; ++i) grants.push_back(callbackGrant(world, "id-" + std::to_string(i)));
     world.push(0, grants);
@@ -256,10 +261,10 @@
     CHECK(world.stores[0]->results.back().outcome == RunOutcome::callback_failed);
 }
 
-TEST_CASE("leaving ends a second before the grace is over at the latest") {
+TEST_CASE("leaving ends at the latest one second before the end of the grace period") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     bool left = false;
     world.edge->leave([&] { left = true; });
@@ -269,9 +274,9 @@
     CHECK(left);
 }
 
-TEST_CASE("leaving: clients that the platform still sends are served until it has noticed") {
+TEST_CASE("leaving: clients are served until the platform has seen that the edge is not ready") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     bool left = false;
     world.edge->leave([&] { left = true; });
     world.world.run(Millis(2250));
@@ -281,15 +286,15 @@
     CHECK(left);
 }
 
-TEST_CASE("a new owner hears of the end again before it hears of the call-back") {
+TEST_CASE("a new owner gets the result again before the call-back is reported") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     std::optional<HttpOutcome> receiver;
-    world.http.play = [&](const HttpCall& call) {
+    world.http.script = [&](const HttpCall& call) {
         return toReceiver(call) ? receiver : std::optional<HttpOutcome>(success("s"));
     };
-    SUBCASE("the call-back is still on its way") {}
-    SUBCASE("the call-back was taken, too") {
+    SUBCASE("the call-back is still in flight") {}
+    SUBCASE("the call-back was delivered as well") {
         receiver = answer(200);
     }
     world.push(0, {withCallback(world, "id-1")});
--- a/tests/cluster/edge_delivery_test.cpp
+++ b/tests/cluster/edge_delivery_test.cpp
@@ -1,4 +1,5 @@
-// Deliveries of granted messages: what servers get, what owners are told, and what is never sent twice.
+// Tests the delivery of granted messages: the requests to servers, the reports to owners, and that no attempt
+// that may have run is repeated.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -19,7 +20,7 @@
 
 TEST_CASE("a message runs where it was accepted, exactly as it arrived, and its success is reported") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const HttpHeaders more = {{"Content-Type", "text/x"}, {"Order-Key", "cab-1"}};
     HttpRequest request = world.request("/ordered/x?a=b%20c", "id-1", more);
     request.method = "PUT";
@@ -52,16 +53,16 @@
 
 TEST_CASE("without a grant nothing runs") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.replyToAccepts({AcceptStatus::stored, false, 0, 0});
     CHECK(world.statusOf(world.request("/plain/x", "id-1")) == 202);
     world.world.run(Millis(200));
     CHECK(world.http.sent.empty());
 }
 
-TEST_CASE("an attempt that may have run ends the grant, with its own word") {
+TEST_CASE("an attempt that may have run ends the grant with the matching outcome") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpOutcome outcome;
     RunOutcome expected = RunOutcome::unknown;
     SUBCASE("success") {
@@ -73,25 +74,25 @@
     SUBCASE("failure") {
         outcome = answer(500), expected = RunOutcome::failed;
     }
-    SUBCASE("refusal for good") {
+    SUBCASE("permanent rejection") {
         outcome = answer(422), expected = RunOutcome::rejected;
     }
-    SUBCASE("the server's time-out") {
+    SUBCASE("time-out reported by the server") {
         outcome = answer(504);
     }
-    SUBCASE("silence") {
-        outcome = silent();
+    SUBCASE("no answer") {
+        outcome = timedOut();
     }
     SUBCASE("a broken connection") {
-        outcome = brokenOff();
+        outcome = connectionLost();
     }
-    SUBCASE("busy, but not saying that it did not run") {
+    SUBCASE("busy, without Not-Executed") {
         outcome = answer(503);
     }
-    SUBCASE("it runs now") {
+    SUBCASE("already running") {
         outcome = notExecuted(409);
     }
-    world.http.play = [&](const HttpCall&) { return outcome; };
+    world.http.script = [&](const HttpCall&) { return outcome; };
     CHECK(world.push(0, {world.grant("id-1")}) == std::vector<bool>{true});
     world.world.run(Millis(5000));
     CHECK(world.http.sent.size() == 1);
@@ -100,9 +101,9 @@
     CHECK_FALSE(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("an attempt that surely did not run is followed by another server inside the grant") {
+TEST_CASE("an attempt that certainly did not run is followed by another server within the grant") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     HttpOutcome outcome;
     SUBCASE("full") {
         outcome = notExecuted(503);
@@ -117,7 +118,7 @@
         outcome = unreachable();
     }
     int tries = 0;
-    world.http.play = [&](const HttpCall&) { return tries++ == 0 ? outcome : success("s"); };
+    world.http.script = [&](const HttpCall&) { return tries++ == 0 ? outcome : success("s"); };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(1000));
     REQUIRE(world.http.sent.size() == 2);
@@ -126,14 +127,14 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::completed);
 }
 
-TEST_CASE("at most three sends inside a grant, then it goes back as not run") {
+TEST_CASE("at most three sends per grant, then it goes back as not run") {
     std::size_t servers = 6;
     HttpOutcome outcome = unreachable();
     bool down = false;
     SUBCASE("all full") {
         outcome = notExecuted(503);
     }
-    SUBCASE("all of them full, and no others") {
+    SUBCASE("all servers full, and no others") {
         outcome = notExecuted(503), servers = 3;
     }
     SUBCASE("unreachable, but there are others") {}
@@ -141,8 +142,8 @@
         servers = 3, down = true;
     }
     EdgeWorld world(1, 3, servers);
-    world.feed();
-    world.http.play = [&](const HttpCall&) { return outcome; };
+    world.provideAll();
+    world.http.script = [&](const HttpCall&) { return outcome; };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(3000));
     CHECK(world.http.sent.size() == 3);
@@ -151,10 +152,10 @@
     CHECK(world.stores[0]->results[0].destination_down == down);
 }
 
-TEST_CASE("a service with a ceiling gets one arrival for a grant") {
+TEST_CASE("a rate-limited service gets one request per grant") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return notExecuted(429); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return notExecuted(429); };
     Grant grant = world.cappedGrant("id-1");
     world.push(0, {grant});
     world.world.run(Millis(3000));
@@ -166,10 +167,10 @@
     CHECK_FALSE(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("an endpoint that is down is told as such") {
+TEST_CASE("an endpoint that is down is reported as down") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return unreachable(); };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return unreachable(); };
     Grant grant = world.cappedGrant("id-1");
     world.push(0, {grant});
     world.world.run(Millis(3000));
@@ -178,9 +179,9 @@
     CHECK(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("connections to a server stay within this edge's share, and work waits for them") {
+TEST_CASE("connections to a server stay within this edge's share, and deliveries wait for them") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({2, 2, 0});  // 4 connections for all: 1 for each of two edges
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 5; ++i) {
@@ -190,16 +191,15 @@
     world.push(0, grants);
     world.world.run(Millis(500));
     CHECK(world.http.sent.size() == 5);
-    CHECK(world.http.most_open == 1);
+    CHECK(world.http.max_open == 1);
     CHECK(world.stores[0]->results.size() == 5);
 }
 
-TEST_CASE(
-    "any dispatcher may run a message for an endpoint, also where there are more of them than connections") {
+TEST_CASE("any edge may run a message for an endpoint, even with more edges than connections") {
     for (std::uint32_t rank = 0; rank < 20; ++rank) {
         CAPTURE(rank);
         EdgeWorld world;
-        world.feed();
+        world.provideAll();
         world.edge->setEdgeShare({20, 20, rank});
         world.push(0, {world.cappedGrant("id-1")});
         world.world.run(Millis(500));
@@ -208,11 +208,11 @@
     }
 }
 
-TEST_CASE("work that waits too long for a connection goes back") {
+TEST_CASE("a grant that waits too long for a connection goes back") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({4, 4, 0});
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     Grant first = world.cappedGrant("id-1");
     Grant second = world.cappedGrant("id-2");
     world.push(0, {first, second});
@@ -225,37 +225,37 @@
 
 TEST_CASE("with no server listed a grant goes back at once") {
     EdgeWorld world;
-    world.feed();
-    world.list({});
+    world.provideAll();
+    world.listServers({});
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.stores[0]->results.size() == 1);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
     CHECK(world.stores[0]->results[0].destination_down);
 }
 
-TEST_CASE("a server that drains or is gone gets nothing from the moment that the list says so") {
+TEST_CASE("a draining or removed server gets no requests once the list says so") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     for (std::uint64_t i = 0; i < 30; ++i) world.push(0, {world.grant("a" + std::to_string(i))});
     for (std::size_t i = 0; i < 3; ++i) CHECK(world.http.sentTo(serverAddress(i)) > 0);
     const std::size_t drained = world.http.sentTo(serverAddress(0));
     const std::size_t gone = world.http.sentTo(serverAddress(2));
-    world.list({server(0, true), server(1)});
+    world.listServers({server(0, true), server(1)});
     for (std::uint64_t i = 0; i < 30; ++i) world.push(0, {world.grant("b" + std::to_string(i))});
     CHECK(world.http.sentTo(serverAddress(0)) == drained);
     CHECK(world.http.sentTo(serverAddress(2)) == gone);
     CHECK(world.http.sent.size() == 60);
-    REQUIRE(world.http.forgotten.size() == 1);
-    CHECK(world.http.forgotten[0] == serverAddress(2));
+    REQUIRE(world.http.drained_addresses.size() == 1);
+    CHECK(world.http.drained_addresses[0] == serverAddress(2));
 }
 
-TEST_CASE("a further send inside a grant heeds the newest list") {
+TEST_CASE("a further send within a grant uses the newest list") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.http.held() == 1);
-    world.list({server(0, true), server(1, true), server(2, true)});
+    world.listServers({server(0, true), server(1, true), server(2, true)});
     world.http.release(notExecuted(503));
     world.world.run(Millis(3000));
     CHECK(world.http.sent.size() == 1);
@@ -263,9 +263,9 @@
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
 }
 
-TEST_CASE("work rotates over equal servers by the module's pick") {
+TEST_CASE("the module spreads requests evenly over equal servers") {
     EdgeWorld world(1, 3, 4);
-    world.feed();
+    world.provideAll();
     for (std::uint64_t i = 0; i < 200; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     for (std::size_t i = 0; i < 4; ++i) {
         CHECK(world.http.sentTo(serverAddress(i)) > 40);
@@ -273,12 +273,12 @@
     }
 }
 
-TEST_CASE("a server that broke off comes back after a while") {
+TEST_CASE("a server that broke connections is used again after a while") {
     EdgeWorld world(1, 3, 2);
-    world.feed();
+    world.provideAll();
     bool sick = true;
-    world.http.play = [&](const HttpCall& call) {
-        return sick && call.to == serverAddress(0) ? brokenOff() : success("s");
+    world.http.script = [&](const HttpCall& call) {
+        return sick && call.to == serverAddress(0) ? connectionLost() : success("s");
     };
     for (std::uint64_t i = 0; i < 40; ++i) world.push(0, {world.grant("a" + std::to_string(i))});
     CHECK(world.http.sentTo(serverAddress(0)) <= 4);
@@ -288,22 +288,22 @@
     CHECK(world.http.sentTo(serverAddress(0)) > before + 100);
 }
 
-TEST_CASE("slower servers get less") {
+TEST_CASE("slower servers get fewer requests") {
     EdgeWorld world(1, 3, 2);
-    world.feed();
+    world.provideAll();
     std::map<NodeAddress, Millis> work = {{serverAddress(0), Millis(20)}, {serverAddress(1), Millis(80)}};
-    world.http.play = [&](const HttpCall& call) {
-        world.http.work = work[call.to];
+    world.http.script = [&](const HttpCall& call) {
+        world.http.response_delay = work[call.to];
         return success("s");
     };
     for (std::uint64_t i = 0; i < 600; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     CHECK(world.http.sentTo(serverAddress(0)) > world.http.sentTo(serverAddress(1)) * 3 / 2);
 }
 
-TEST_CASE("a repeated grant is taken and not begun twice; another attempt of the message is refused") {
+TEST_CASE("a repeated grant is accepted and not started twice; another attempt of the message is refused") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     CHECK(world.push(0, {world.grant("id-1", 0, 1)}) == std::vector<bool>{true});
     CHECK(world.push(0, {world.grant("id-1", 0, 1)}) == std::vector<bool>{true});
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}) == std::vector<bool>{false});
@@ -314,10 +314,10 @@
     CHECK(world.push(0, {world.grant("id-1", 0, 3)}) == std::vector<bool>{true});
 }
 
-TEST_CASE("an attempt whose report was not taken yet counts as running") {
+TEST_CASE("an attempt whose result is not acknowledged yet counts as running") {
     EdgeWorld world;
-    world.feed();
-    world.stores[0]->takes_reports = false;
+    world.provideAll();
+    world.stores[0]->acknowledges_reports = false;
     world.push(0, {world.grant("id-1", 0, 1)});
     world.world.run(Millis(50));
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}) == std::vector<bool>{false});
@@ -330,18 +330,18 @@
 
 TEST_CASE("grants of a store that lost the partition are refused") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->onView(world.viewWithout(2, 0));
     CHECK(world.push(0, {world.grant("id-1")}) == std::vector<bool>{false});
     CHECK(world.push(1, {world.grant("id-2")}) == std::vector<bool>{true});
     Grant newer = world.grant("id-3");
-    newer.epoch = 3;  // of a view that this edge does not have yet
+    newer.epoch = 3;  // epoch of a view that this edge does not have yet
     CHECK(world.push(0, {newer}) == std::vector<bool>{true});
 }
 
-TEST_CASE("grants that were meant for the process before this one are not begun") {
+TEST_CASE("grants for another incarnation of the edge are refused") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const Incarnation own = 7;
     CHECK(world.push(0, {world.grant("id-1")}, own - 1) == std::vector<bool>{false});
     CHECK(world.push(0, {world.grant("id-1", 0, 2)}, own + 1) == std::vector<bool>{false});
@@ -353,23 +353,23 @@
     CHECK(world.http.sent.size() == 2);
 }
 
-TEST_CASE("grants over the bound are refused") {
+TEST_CASE("grants above the limit are refused") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 310; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
-    const std::vector<bool> taken = world.push(0, grants);
-    REQUIRE(taken.size() == 310);
-    CHECK(std::count(taken.begin(), taken.end(), true) == 300);
-    // A message is still accepted, but for another edge to run.
+    const std::vector<bool> accepted = world.push(0, grants);
+    REQUIRE(accepted.size() == 310);
+    CHECK(std::count(accepted.begin(), accepted.end(), true) == 300);
+    // A message is still accepted, but this edge does not ask for its grant.
     CHECK(world.statusOf(world.request("/plain/x", "more")) == 202);
     CHECK_FALSE(world.stores[0]->accepts.at(0).wants_grant);
 }
 
-TEST_CASE("a route that a newer configuration dropped is not run any more") {
+TEST_CASE("messages of a route that a newer configuration removed are not run") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     auto without = std::make_shared<Configuration>(*edge_test::configuration());
     without->generation = 2;
     std::erase_if(without->routes, [](const Route& route) { return route.name == "plain"; });
@@ -379,7 +379,7 @@
     CHECK(world.http.sent.empty());
     REQUIRE(world.stores[0]->results.size() == 1);
     CHECK(world.stores[0]->results[0].outcome == RunOutcome::not_run);
-    // A grant that rests on a newer configuration than this edge has is delivered.
+    // A grant made under a newer configuration than this edge has is delivered.
     Grant newer = world.grant("id-2");
     newer.content.config_generation = 3;
     newer.content.order_scope = "host.example/brand-new/";
@@ -387,16 +387,16 @@
     CHECK(world.http.sent.size() == 1);
 }
 
-TEST_CASE("the module is built anew for another number of edges without losing work") {
+TEST_CASE("the module is rebuilt for another number of edges without losing grants") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     for (std::uint64_t i = 0; i < 3; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     world.edge->setEdgeShare({8, 8, 0});
-    world.http.release(notExecuted(503));  // of the module that is gone: back to the owner
+    world.http.release(notExecuted(503));  // sent by the previous module: the grant goes back to the owner
     world.http.release(success("s"));
     world.http.release(success("s"));
-    world.http.play = [](const HttpCall&) { return success("s"); };
+    world.http.script = [](const HttpCall&) { return success("s"); };
     world.push(0, {world.grant("after")});
     world.world.run(Millis(200));
     CHECK(world.stores[0]->results.size() == 4);
@@ -406,9 +406,9 @@
     CHECK(counters.find("edges 8\n") != std::string::npos);
 }
 
-TEST_CASE("a fall of the number of edges counts only once it has lasted") {
+TEST_CASE("a lower number of edges takes effect only after a delay") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({8, 8, 0});
     world.edge->setEdgeShare({1, 1, 0});
     world.world.run(Millis(9000));
@@ -418,14 +418,14 @@
     CHECK(world.edge->countersText().find("edges 7\n") != std::string::npos);
 }
 
-TEST_CASE("a grant with an accept that this edge can't run goes back at once") {
+TEST_CASE("a grant received with an accept that this edge cannot run goes back at once") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 300; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
     world.push(0, grants);
-    world.stores[0]->grants_unasked = true;
+    world.stores[0]->grants_unrequested = true;
     CHECK(world.statusOf(world.request("/plain/x", "more")) == 202);
     world.world.run(Millis(50));
     REQUIRE(world.stores[0]->results.size() == 1);
--- a/tests/cluster/edge_report_test.cpp
+++ b/tests/cluster/edge_report_test.cpp
@@ -1,4 +1,5 @@
-// What owners of partitions are told: results until they are taken, and what runs.
+// Tests what an edge reports to the owners of partitions: results, until they are acknowledged, and running
+// attempts.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,11 +18,11 @@
 
 }  // namespace
 
-TEST_CASE("a result is told again until the owner by the newest view has taken it") {
+TEST_CASE("a result is reported again until the owner in the newest view acknowledges it") {
     EdgeWorld world;
-    world.feed();
-    SUBCASE("the owner does not take it") {
-        world.stores[0]->takes_reports = false;
+    world.provideAll();
+    SUBCASE("the owner does not acknowledge it") {
+        world.stores[0]->acknowledges_reports = false;
     }
     SUBCASE("the owner is dead") {
         world.stores[0]->die();
@@ -29,7 +30,7 @@
     SUBCASE("the owner is cut off") {
         world.network.isolate("10.2.0.1");
     }
-    // Granted by the store that the edge still believes to be the owner.
+    // The grant names store-0, which the edge's view still has as the owner.
     Grant grant = world.grant("id-1");
     world.stores[1]->push(world.world, world.edge_address, {"store-0", 0, {grant}});
     world.world.run(Millis(2000));
@@ -45,8 +46,8 @@
 
 TEST_CASE("reports are batched while a call is open") {
     EdgeWorld world;
-    world.feed();
-    world.http.work = Millis(1);
+    world.provideAll();
+    world.http.response_delay = Millis(1);
     std::vector<Grant> grants;
     for (std::uint64_t i = 0; i < 50; ++i) grants.push_back(world.grant("id-" + std::to_string(i)));
     world.push(0, grants);
@@ -57,14 +58,14 @@
 
 TEST_CASE("results survive a lossy network") {
     EdgeWorld world(7);
-    world.feed();
+    world.provideAll();
     world.network.loss = 0.3;
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     for (std::uint64_t i = 0; i < 40; ++i) {
-        // The store sees a lost answer as not taken and pushes again, as an owner does.
+        // The store treats a lost answer as a refused grant, as an owner does.
         const std::string id = "id-" + std::to_string(i);
         const std::vector<bool> answer = world.push(0, {world.grant(id)});
-        taken += !answer.empty() && answer[0];
+        accepted += !answer.empty() && answer[0];
         world.world.run(Millis(500));
     }
     world.network.loss = 0;
@@ -75,13 +76,13 @@
     std::map<std::string, int> reported;
     for (const RunResult& result : world.results()) ++reported[result.id];
     CHECK(reported.size() == sends.size());
-    CHECK(sends.size() >= taken);
+    CHECK(sends.size() >= accepted);
 }
 
-TEST_CASE("every live store hears what runs: with each view, and every second") {
+TEST_CASE("every live store gets the running attempts with each view and every second") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     world.world.run(Millis(2500));
     for (const auto& store : world.stores) {
@@ -99,11 +100,11 @@
     CHECK(world.stores[2]->syncs.back().view_epoch == 2);
 }
 
-TEST_CASE("a new owner hears again of ends that the dead one may have kept to itself") {
+TEST_CASE("a new owner gets results again that the dead owner may not have replicated") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     int status = 200;
-    world.http.play = [&](const HttpCall&) { return status == 200 ? success("s") : answer(status); };
+    world.http.script = [&](const HttpCall&) { return status == 200 ? success("s") : answer(status); };
     world.push(0, {world.grant("done", 0)});
     status = 500;
     world.push(0, {world.grant("failed", 3)});
@@ -112,24 +113,24 @@
     world.world.run(Millis(1000));
     REQUIRE(world.stores[0]->results.size() == 2);
     const std::size_t of_next = world.stores[1]->results.size();
-    // The successor is not ready at first: until then the end counts as running, so that nobody runs it
-    // again.
-    world.stores[1]->takes_reports = false;
+    // The successor is not ready at first. Until it acknowledges the result, the attempt counts as running,
+    // so that the message is not run again.
+    world.stores[1]->acknowledges_reports = false;
     world.edge->onView(world.viewWithout(2, 0));
     world.world.run(Millis(50));
     REQUIRE(world.stores[1]->syncs.back().view_epoch == 2);
     REQUIRE(world.stores[1]->syncs.back().running.size() == 1);
     CHECK(world.stores[1]->syncs.back().running[0].id == "done");
     CHECK(world.stores[1]->syncs.back().running[0].attempt == 1);
-    world.stores[1]->takes_reports = true;
+    world.stores[1]->acknowledges_reports = true;
     world.world.run(Millis(500));
-    // The failure is not told again: it might be counted twice.
+    // The failure is not reported again, since it might be counted twice.
     REQUIRE(world.stores[1]->results.size() == of_next + 1);
     CHECK(world.stores[1]->results.back().id == "done");
     CHECK(world.stores[1]->results.back().outcome == RunOutcome::completed);
     CHECK(world.stores[1]->results.back().stamp == "s");
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
-    // Where the owner stays, nothing is told again; nor are old ends.
+    // Nothing is reported again if the owner stays the same, and neither are old results.
     world.world.run(Millis(3100));
     const std::size_t before = world.results().size();
     world.edge->onView(world.viewWithout(3, 1));
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -1,5 +1,5 @@
-// One edge in a simulated world: fake stores that own the partitions, and servers played by a fake HTTP
-// client.
+// Test fixture with one edge in a simulated world: fake stores own the partitions, and a fake HTTP client
+// stands in for the servers.
 #pragma once
 
 #include <deque>
@@ -39,49 +39,49 @@
     outcome.unreachable = true;
     return outcome;
 }
-inline HttpOutcome silent() {
+inline HttpOutcome handleTimeout() {
     HttpOutcome outcome;
     outcome.timed_out = true;
     return outcome;
 }
-inline HttpOutcome brokenOff() {
+inline HttpOutcome connectionLost() {
     return {};
 }
 
-// Plays application servers and receivers of call-backs.
+// Stands in for application servers and call-back receivers.
 class FakeHttp : public HttpClient {
 public:
     struct Sent {
         HttpCall call;
         SteadyTime at;
     };
-    // What an address answers, and after how long. Nothing: it holds the request until release().
-    using Play = std::function<std::optional<HttpOutcome>(const HttpCall&)>;
+    // Returns the outcome of a call; nullopt holds the call until release().
+    using Script = std::function<std::optional<HttpOutcome>(const HttpCall&)>;
 
     explicit FakeHttp(World& world) : world_(world) {}
 
-    Play play = [](const HttpCall&) { return success("stamp"); };
-    Millis work{10};
+    Script script = [](const HttpCall&) { return success("stamp"); };
+    Millis response_delay{10};
     std::vector<Sent> sent;
 
     void send(HttpCall call, std::function<void(HttpOutcome)> done) override {
         sent.push_back({call, world_.now()});
         ++open_[call.to];
-        most_open = std::max(most_open, open_[call.to]);
+        max_open = std::max(max_open, open_[call.to]);
         const auto finish = [this, to = call.to, done = std::move(done)](HttpOutcome outcome) {
             --open_[to];
             done(std::move(outcome));
         };
-        std::optional<HttpOutcome> outcome = play(call);
+        std::optional<HttpOutcome> outcome = script(call);
         if (!outcome) return held_.push_back(finish);
-        world_.at(world_.now() + work, [finish, outcome] { finish(*outcome); });
+        world_.at(world_.now() + response_delay, [finish, outcome] { finish(*outcome); });
     }
     std::size_t connectionCount(const NodeAddress& address) const override {
         return connected.contains(address) ? 1 : 0;
     }
-    void drainConnections(const NodeAddress& address) override { forgotten.push_back(address); }
+    void forget(const NodeAddress& address) override { drained_addresses.push_back(address); }
 
-    // Answers the request that has been held the longest.
+    // Finishes the call that has been held the longest.
     void release(HttpOutcome outcome) {
         const auto finish = held_.front();
         held_.pop_front();
@@ -94,9 +94,9 @@
         return count;
     }
 
-    std::size_t most_open = 0;
-    std::set<NodeAddress> connected;  // where connections are open
-    std::vector<NodeAddress> forgotten;
+    std::size_t max_open = 0;
+    std::set<NodeAddress> connected;  // addresses with an open connection
+    std::vector<NodeAddress> drained_addresses;
 
 private:
     World& world_;
@@ -104,7 +104,7 @@
     std::deque<std::function<void(HttpOutcome)>> held_;
 };
 
-// A store that answers as the test says and remembers what it was told.
+// A store whose answers are set by the test and which records the requests it receives.
 class FakeStore {
 public:
     FakeStore(World& world, Network& network, NodeAddress address)
@@ -116,12 +116,12 @@
 
     AcceptMessageReply accept_reply{AcceptStatus::stored, true, 1, 1};
     bool answers_accepts = true;
-    bool grants_unasked = false;  // also where the edge does not want it
-    bool takes_reports = true;
+    bool grants_unrequested = false;  // grants even if the edge did not ask for a grant
+    bool acknowledges_reports = true;
     StateReply state_reply{QueryStatus::found, Phase::pending, "", "body"};
     std::vector<AcceptMessageRequest> accepts;
-    std::vector<RunResult> results;  // that were taken
-    std::vector<RunResult> refused;
+    std::vector<RunResult> results;  // acknowledged results
+    std::vector<RunResult> unacknowledged;
     std::size_t report_calls = 0;
     std::vector<EdgeSync> syncs;
     std::vector<StateQuery> queries;
@@ -131,14 +131,14 @@
     const NodeAddress& address() const { return address_; }
 
     std::vector<bool> push(World& world, const NodeAddress& edge, GrantPush grants) {
-        std::vector<bool> taken;
+        std::vector<bool> accepted;
         transport_->call(edge, envelope(MessageKind::grant_push, grants), Millis(500),
                          [&](const CallResult& result) {
                              if (const auto answered = decode<GrantPushReply>(result.reply.body))
-                                 taken = answered->accepted;
+                                 accepted = answered->accepted;
                          });
         world.run(Millis(20));
-        return taken;
+        return accepted;
     }
 
 private:
@@ -163,17 +163,17 @@
     }
     AcceptMessageReply acceptReply(const AcceptMessageRequest& request) const {
         AcceptMessageReply made = accept_reply;
-        made.granted = made.granted && (request.wants_grant || grants_unasked);
+        made.granted = made.granted && (request.wants_grant || grants_unrequested);
         return made;
     }
-    void report(const RunReport& told, const Responder& respond) {
+    void report(const RunReport& received, const Responder& respond) {
         ++report_calls;
-        RunReportReply answered;
-        for (const RunResult& result : told.results) {
-            (takes_reports ? results : refused).push_back(result);
-            answered.accepted.push_back(takes_reports);
+        RunReportReply reply_message;
+        for (const RunResult& result : received.results) {
+            (acknowledges_reports ? results : unacknowledged).push_back(result);
+            reply_message.accepted.push_back(acknowledges_reports);
         }
-        respond(reply(answered));
+        respond(reply(reply_message));
     }
 
     NodeAddress address_;
@@ -189,7 +189,7 @@
     return settings;
 }
 
-// Routes "/plain/" (callbacks allowed), "/ordered/", "/capped/" (a static endpoint with a ceiling) on
+// Routes "/plain/" (call-backs allowed), "/ordered/" and "/capped/" (a static endpoint with a rate limit) on
 // host.example.
 inline std::shared_ptr<Configuration> configuration() {
     auto made = std::make_shared<Configuration>();
@@ -261,11 +261,12 @@
     }
     ~EdgeWorld() { scheduler.kill(); }
 
-    // Everything that an edge needs to serve; the owner of partition p is store p % stores.
-    void feed() {
+    // Provides the view, the configuration and the server list that an edge needs. Store p % stores owns
+    // partition p.
+    void provideAll() {
         edge->onView(view(1));
         edge->onConfiguration(edge_test::configuration());
-        list(servers);
+        listServers(servers);
     }
     std::shared_ptr<StoreView> view(Epoch epoch) const {
         auto made = std::make_shared<StoreView>();
@@ -286,7 +287,7 @@
         }
         return made;
     }
-    // A view in which store `index` is gone and the next one owns its partitions.
+    // Returns a view in which store `index` is dead and the next store owns its partitions.
     std::shared_ptr<StoreView> viewWithout(Epoch epoch, std::size_t index) const {
         auto made = view(epoch);
         made->stores[index].alive = false;
@@ -297,7 +298,7 @@
         }
         return made;
     }
-    void list(std::vector<ServerEntry> entries) {
+    void listServers(std::vector<ServerEntry> entries) {
         auto made = std::make_shared<ServerList>();
         made->version = {1, ++list_version_};
         made->servers = std::move(entries);
@@ -313,15 +314,15 @@
         made.body = "the body";
         return made;
     }
-    // The answer to a request of a client, if one came within the span.
-    std::optional<HttpResponse> ask(const HttpRequest& asked, Millis span = Millis(3000)) {
+    // Sends a client request and returns the response, or nullopt if none arrives within `span`.
+    std::optional<HttpResponse> responseTo(const HttpRequest& asked, Millis span = Millis(3000)) {
         auto response = std::make_shared<std::optional<HttpResponse>>();
-        edge->handleFront(asked, [response](HttpResponse given) { *response = std::move(given); });
-        world.runUntil([&] { return response->has_value(); }, span);
+        edge->handleClientRequest(asked, [response](HttpResponse given) { *response = std::move(given); });
+        world.RawConnection([&] { return response->has_value(); }, span);
         return *response;
     }
     int statusOf(const HttpRequest& asked, Millis span = Millis(3000)) {
-        const auto response = ask(asked, span);
+        const auto response = responseTo(asked, span);
         return response ? response->status : 0;
     }
     Grant grant(const std::string& id, PartitionId partition = 0, std::uint64_t attempt = 1) const {
@@ -340,7 +341,7 @@
         made.timeout_ms = 2000;
         return made;
     }
-    // Of a message on the route to the endpoint with a ceiling.
+    // Returns a grant of a message on the route to the rate-limited endpoint.
     Grant cappedGrant(const std::string& id) const {
         Grant made = grant(id);
         made.content.order_scope = "host.example/capped/";
@@ -348,7 +349,7 @@
         made.content.target = "/capped/x";
         return made;
     }
-    // `process`: whom the store believes to run at the edge's address; 0: it does not know.
+    // `process`: the incarnation that the store expects at the edge's address; 0 if unknown.
     std::vector<bool> push(std::size_t store, std::vector<Grant> grants, Incarnation process = 0) {
         return stores[store]->push(world, edge_address,
                                    {"store-" + std::to_string(store), process, std::move(grants)});
@@ -358,12 +359,12 @@
         for (const auto& store : stores) all.insert(all.end(), store->results.begin(), store->results.end());
         return all;
     }
-    std::size_t acceptsAsked() const {
+    std::size_t acceptRequestCount() const {
         std::size_t count = 0;
         for (const auto& store : stores) count += store->accepts.size();
         return count;
     }
-    // Every store answers accepts alike.
+    // Makes every store answer accept requests with `with`.
     void replyToAccepts(AcceptMessageReply with) {
         for (const auto& store : stores) store->accept_reply = with;
     }
