--- a/src/cluster/control/configuration_history.cpp
+++ b/src/cluster/control/configuration_history.cpp
@@ -59,7 +59,7 @@
     return found == versions_.end() ? nullptr : found->configuration.get();
 }
 
-const EncodedUpdate& ConfigurationHistory::makeUpdate(const ConfigurationVersion& base) {
+const EncodedUpdate& ConfigurationHistory::updateFrom(const ConfigurationVersion& base) {
     const Configuration* const from = find(base);
     const std::int64_t base_generation = from == nullptr ? 0 : base.generation;
     const auto cached = updates_.find(base_generation);
--- a/src/cluster/control/configuration_history.hpp
+++ b/src/cluster/control/configuration_history.hpp
@@ -38,7 +38,7 @@
     }
     // The update from `base` to the newest configuration, or the full configuration if `base` is not kept.
     // Requires that a configuration has been added. The reference is valid until the next add().
-    const EncodedUpdate& makeUpdate(const ConfigurationVersion& base);
+    const EncodedUpdate& updateFrom(const ConfigurationVersion& base);
 
 private:
     struct Version {
--- a/src/cluster/control/configuration_reader.cpp
+++ b/src/cluster/control/configuration_reader.cpp
@@ -49,7 +49,7 @@
 
 ConfigurationReader::ConfigurationReader(Scheduler& scheduler, Transport& transport, std::string self,
                                          std::function<std::vector<NodeAddress>()> core)
-    : scheduler_(scheduler), transport_(transport), address_(std::move(self)), core_(std::move(core)) {}
+    : scheduler_(scheduler), transport_(transport), self_(std::move(self)), core_(std::move(core)) {}
 
 void ConfigurationReader::read(HttpResponder respond) {
     Search search{core_(), scheduler_.now() + kReadTimeout, std::move(respond)};
@@ -69,7 +69,7 @@
         askNext(std::move(*shared));
     };
     callFor<ReadConfigurationReply>(transport_, core, MessageKind::read_configuration,
-                                    ReadConfigurationRequest{address_}, std::min(time_left, kCallTimeout),
+                                    ReadConfigurationRequest{self_}, std::min(time_left, kCallTimeout),
                                     lifetime_.guard(done));
 }
 
--- a/src/cluster/control/control_node.cpp
+++ b/src/cluster/control/control_node.cpp
@@ -59,7 +59,7 @@
     }
 
 private:
-    NodeAddress self() const { return settings_.internal(PortOffset::core); }
+    NodeAddress self() const { return settings_.internalAddress(PortOffset::core); }
     std::vector<NodeAddress> seedAddresses() const;
     std::vector<NodeAddress> coreAddresses() const;
     static std::uint32_t toleratedFailures(const FaultTolerance& tolerance);
--- a/src/cluster/control/core_client.cpp
+++ b/src/cluster/control/core_client.cpp
@@ -93,7 +93,7 @@
 
     Scheduler& scheduler_;
     Transport& transport_;
-    Member address_;
+    Member self_;
     std::vector<NodeAddress> seeds_;
     NodeLocations& locations_;
     Callbacks callbacks_;
@@ -128,11 +128,11 @@
                        NodeLocations& locations, Callbacks callbacks)
     : scheduler_(scheduler),
       transport_(transport),
-      address_(std::move(self)),
+      self_(std::move(self)),
       seeds_(std::move(core)),
       locations_(locations),
       callbacks_(std::move(callbacks)),
-      random_(address_.incarnation) {}
+      random_(self_.incarnation) {}
 
 void CoreClient::Impl::start() {
     renewAll();
@@ -140,12 +140,12 @@
 }
 
 void CoreClient::Impl::leave() {
-    address_.leaving = true;
+    self_.leaving = true;
     renewAll();
 }
 
 void CoreClient::Impl::setDiskFailed(bool failed) {
-    if (std::exchange(address_.disk_failed, failed) == failed) return;
+    if (std::exchange(self_.disk_failed, failed) == failed) return;
     if (renew_timer_) renewAll();  // unset before start()
 }
 
@@ -224,15 +224,15 @@
     for (const NodeAddress& address : addresses()) {
         if (!skipsRenewal(address)) renewAt(address);
     }
-    Millis pause = address_.kind == NodeKind::store ? kStoreRenewInterval : kEdgeRenewInterval;
-    if (address_.leaving) pause = kLeaveRenewInterval;
+    Millis pause = self_.kind == NodeKind::store ? kStoreRenewInterval : kEdgeRenewInterval;
+    if (self_.leaving) pause = kLeaveRenewInterval;
     renew_timer_ = scheduler_.after(pause, [this] { renewAll(); });
 }
 
 // A dispatcher's lease outlasts several renewals, so core machines in other regions get only every second
 // one.
 bool CoreClient::Impl::skipsRenewal(const NodeAddress& address) const {
-    if (address_.kind != NodeKind::edge || address_.leaving || renewal_rounds_ % kRemoteRenewIntervals == 0)
+    if (self_.kind != NodeKind::edge || self_.leaving || renewal_rounds_ % kRemoteRenewIntervals == 0)
         return false;
     const auto found = machines_.find(address);
     const bool answers =
@@ -242,7 +242,7 @@
 
 void CoreClient::Impl::renewAt(const NodeAddress& address) {
     RenewLeaseRequest request;
-    request.member = address_;
+    request.member = self_;
     request.view_epoch = view_ ? view_->epoch : 0;
     request.config_generation = configuration_ ? configuration_->generation : 0;
     const auto known = machines_.find(address);
@@ -268,7 +268,7 @@
         machine.reported_core = reply->core;
         machine.reported_core_digest = reply->core_digest;
     }
-    locations_.learn(address, reply->zone);
+    locations_.setZone(address, reply->zone);
     switchToNewer(address, *reply);
 }
 
@@ -349,7 +349,7 @@
     watched_since_ = scheduler_.now();
     const std::uint64_t serial = ++watch_serial_;
     WatchRequest request;
-    request.name = address_.name;
+    request.name = self_.name;
     request.config_generation = seen_generation_;
     request.servers = servers_ ? servers_->version : ServerListVersion{};
     request.view_epoch = view_ ? view_->epoch : 0;
@@ -428,7 +428,8 @@
     const auto order = [](const StoreView& of) { return std::pair(of.epoch, of.leader_term); };
     if (view_ && order(view) <= order(*view_)) return;
     view_ = std::make_shared<const StoreView>(std::move(view));
-    for (const StoreMember& store : view_->stores) locations_.learn(store.member.address, store.member.zone);
+    for (const StoreMember& store : view_->stores)
+        locations_.setZone(store.member.address, store.member.zone);
     if (callbacks_.on_view) callbacks_.on_view(view_);
 }
 
--- a/src/cluster/control/operator_api.cpp
+++ b/src/cluster/control/operator_api.cpp
@@ -68,20 +68,22 @@
 }  // namespace
 
 std::int64_t newestForgotten(const ConfigurationState& state) {
-    return state.taken.empty() ? state.generation : state.taken.front().base;
+    return state.accepted_changes.empty() ? state.generation : state.accepted_changes.front().base;
 }
 
 ReplaceDecision decideReplace(const ConfigurationState& current, const AcceptedChange& change,
                               const std::string& body) {
     if (change.generation <= change.base) return {ReplaceVerdict::generation_too_low, false, {}};
-    const bool known = std::find(current.taken.begin(), current.taken.end(), change) != current.taken.end();
+    const bool known = std::find(current.accepted_changes.begin(), current.accepted_changes.end(), change) !=
+                       current.accepted_changes.end();
     if (known) return {ReplaceVerdict::taken, false, {}};
     if (current.generation != change.base) {
         const bool is_forgotten = change.generation <= newestForgotten(current);
         return {is_forgotten ? ReplaceVerdict::forgotten : ReplaceVerdict::other_base, false, {}};
     }
-    ReplaceDecision decision{ReplaceVerdict::taken, true, {change.generation, body, current.taken}};
-    std::vector<AcceptedChange>& taken = decision.next.taken;
+    ReplaceDecision decision{
+        ReplaceVerdict::taken, true, {change.generation, body, current.accepted_changes}};
+    std::vector<AcceptedChange>& taken = decision.next.accepted_changes;
     taken.push_back(change);
     if (taken.size() > kMaxTakenChanges) taken.erase(taken.begin(), taken.end() - kMaxTakenChanges);
     return decision;
--- a/src/cluster/control/server_poller.cpp
+++ b/src/cluster/control/server_poller.cpp
@@ -21,7 +21,7 @@
 constexpr Millis kMaxBackoff{1000};
 constexpr double kRateLimitShare = 0.25;  // of the rate limit of the platform API
 constexpr std::size_t kMaxPages = 1000;
-constexpr int kSuccess = 200;
+constexpr int kOk = 200;
 
 // Throws std::invalid_argument.
 NodeAddress parseAddress(const std::string& text) {
@@ -154,7 +154,7 @@
 
 void ServerPoller::onPage(std::uint64_t poll, const HttpOutcome& outcome) {
     if (poll != poll_serial_ || !hooks_.may_poll()) return;
-    if (outcome.verdict != CallStatus::answered || outcome.response.status != kSuccess) return onFailure();
+    if (outcome.verdict != CallStatus::answered || outcome.response.status != kOk) return onFailure();
     std::optional<InstancePage> page = parseInstancePage(outcome.response.body);
     if (!page) return onFailure();
     std::move(page->servers.begin(), page->servers.end(), std::back_inserter(servers_));
--- a/src/cluster/edge/delivery_answer.cpp
+++ b/src/cluster/edge/delivery_answer.cpp
@@ -31,11 +31,11 @@
 DeliveryAnswer classifyNotExecuted(int status, bool rate_limited) {
     // Either another edge's attempt is running (409) or the request itself is invalid (400): another server
     // would not help.
-    if (status == kConflict) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::moot);
-    if (status == kBadRequest) return notRunAnswer(Outcome::moot, false);
+    if (status == kConflict) return mayHaveRunAnswer(RunOutcome::unknown, Outcome::notExecuted);
+    if (status == kBadRequest) return notRunAnswer(Outcome::notExecuted, false);
     if (status == kWrongInstance) return notRunAnswer(Outcome::connectFailed, !rate_limited);
     // Reaching the rate limit does not mean that the server is full.
-    return notRunAnswer(rate_limited ? Outcome::moot : Outcome::full, !rate_limited);
+    return notRunAnswer(rate_limited ? Outcome::notExecuted : Outcome::full, !rate_limited);
 }
 
 DeliveryAnswer classifyResponse(const HttpResponse& response, bool rate_limited) {
@@ -67,7 +67,7 @@
             // Without a connection nothing reached the server, so the attempt does not count against a rate
             // limit.
             DeliveryAnswer answer =
-                notRunAnswer(outcome.unreachable ? Outcome::connectFailed : Outcome::moot, true);
+                notRunAnswer(outcome.unreachable ? Outcome::connectFailed : Outcome::notExecuted, true);
             answer.unreachable = outcome.unreachable;
             return answer;
         }
--- a/src/cluster/edge/service_dispatcher.cpp
+++ b/src/cluster/edge/service_dispatcher.cpp
@@ -12,7 +12,7 @@
 
 using heronmount::Outcome;
 using heronmount::RequestId;
-using heronmount::Standing;
+using heronmount::Worker;
 using heronmount::WorkerStatus;
 
 constexpr std::uint32_t kMaxSends = 3;  // per grant; all but the last are certain not to have run
@@ -72,17 +72,17 @@
 heronmount::Settings ServiceDispatcher::moduleSettings() const {
     heronmount::Settings settings;
     heronmount::ClassSettings messages;
-    messages.goal = schedule_target_;
+    messages.targetLatency = schedule_target_;
     messages.clientTimeout = std::chrono::seconds(60);
     // Attempts that may have run are reported as settled, so that none is repeated within a grant. `keyed`
     // lets a server that failed return after a single trial request.
-    messages.effect = heronmount::Effect::keyed;
-    messages.group = heronmount::Group::all;
-    messages.window = messages.clientTimeout;
+    messages.idempotency = heronmount::Idempotency::keyed;
+    messages.dedupScope = heronmount::DedupScope::all;
+    messages.dedupWindow = messages.clientTimeout;
     messages.stretch = 1;
     settings.classes = {messages};
     settings.schedulerCount = share_.edges;
-    settings.me = static_cast<std::uint32_t>(hashOf(edge_) % share_.edges);
+    settings.schedulerIndex = static_cast<std::uint32_t>(hashOf(edge_) % share_.edges);
     settings.maxAttempts = module_attempts_;
     settings.weights = heronmount::Weights::nominal;
     settings.handshakeCost = 1;  // connections are kept alive
@@ -90,7 +90,7 @@
     // No budget for cold servers: they queue requests and refuse what they cannot take, and a budget derived
     // from the recent throughput of this edge would block all requests when all servers of a service start at
     // once.
-    settings.cold = heronmount::Nanos(0);
+    settings.warmup = heronmount::Nanos(0);
     return settings;
 }
 
@@ -128,16 +128,16 @@
     for (const ServerEntry* const entry : listed) {
         if (service_.endpoint && !entry->uid.empty()) continue;
         changed = updateServer(entry->uid, *entry, usable.contains(entry->uid)) || changed;
-        const WorkerStatus handle = handles_[entry->uid];
+        const Worker handle = handles_[entry->uid];
         seen.resize(servers_.size(), false);
         seen[handle] = true;
     }
-    for (WorkerStatus handle = 0; handle < servers_.size(); ++handle) {
-        if (seen[handle] || servers_[handle].entry.standing == Standing::off) continue;
-        servers_[handle].entry.standing = Standing::off;
+    for (Worker handle = 0; handle < servers_.size(); ++handle) {
+        if (seen[handle] || servers_[handle].entry.status == WorkerStatus::off) continue;
+        servers_[handle].entry.status = WorkerStatus::off;
         servers_[handle].usable = false;
         changed = true;
-        http_.forget(servers_[handle].address);
+        http_.drainConnections(servers_[handle].address);
     }
     if (!changed) return;
     usable_servers_ = static_cast<std::size_t>(
@@ -171,7 +171,7 @@
 }
 
 bool ServiceDispatcher::updateServer(const std::string& uid, const ServerEntry& listed, bool usable) {
-    const auto [at, fresh] = handles_.try_emplace(uid, static_cast<WorkerStatus>(servers_.size()));
+    const auto [at, fresh] = handles_.try_emplace(uid, static_cast<Worker>(servers_.size()));
     if (fresh) {
         Server& added = servers_.emplace_back();
         added.uid = uid;
@@ -179,30 +179,30 @@
         added.entry.id = hashOf(uid);
         if (listed.warmup_remaining_ms > 0) {
             const Millis remaining(listed.warmup_remaining_ms);
-            added.entry.since = std::max(heronmount::Time(1), moduleTime() + remaining - kWarmUp);
+            added.entry.startedAt = std::max(heronmount::Time(1), moduleTime() + remaining - kWarmUp);
         }
     }
     Server& server = servers_[at->second];
-    const Standing standing = usable ? Standing::on : Standing::draining;
-    if (server.usable && !usable && !listed.draining) http_.forget(listed.address);
+    const WorkerStatus standing = usable ? WorkerStatus::on : WorkerStatus::draining;
+    if (server.usable && !usable && !listed.draining) http_.drainConnections(listed.address);
     const double units = std::max<std::uint32_t>(1, listed.capacity);
     const int zone = zoneIndex(listed.zone);
-    const bool changed = fresh || server.entry.standing != standing || server.entry.units != units ||
+    const bool changed = fresh || server.entry.status != standing || server.entry.weight != units ||
                          server.entry.zone != zone || server.address != listed.address;
     server.address = listed.address;
-    server.entry.standing = standing;
-    server.entry.units = units;
+    server.entry.status = standing;
+    server.entry.weight = units;
     server.entry.zone = zone;
-    server.entry.crossing =
+    server.entry.zoneCostFactor =
         topology_.distanceBetween(zone_, listed.zone) == Distance::other_region ? kCrossRegionFactor : 1;
-    server.usable = standing == Standing::on;
+    server.usable = standing == WorkerStatus::on;
     return changed;
 }
 
 void ServiceDispatcher::sendRoster() {
     if (!module_ || servers_.empty()) return;
     heronmount::RosterUpdate update;
-    update.mode = heronmount::RosterMode::whole;
+    update.mode = heronmount::RosterMode::full;
     for (const Server& server : servers_) update.entries.push_back(server.entry);
     notifyModule(std::move(update));
 }
@@ -214,20 +214,20 @@
 // --- Deliveries -------------------------------------------------------------------------------------------
 
 void ServiceDispatcher::start(Grant grant) {
-    const RequestId id = ++last_call_id_;
+    const RequestId id = ++last_id_;
     Delivery& delivery = deliveries_[id];
     delivery.grant = std::move(grant);
     if (!hasServer()) {
         ++counters_.no_server;
         return finish(id, {RunOutcome::not_run, "", available_servers_ == 0});
     }
-    if (queued_.empty() && hasDiskSpace()) return submitToModule(id);
+    if (queued_.empty() && hasRoom()) return submitToModule(id);
     delivery.queued_until = scheduler_.now() + kMaxQueueTime;
     queued_.push_back(id);
     startQueued();
 }
 
-bool ServiceDispatcher::hasDiskSpace() const {
+bool ServiceDispatcher::hasRoom() const {
     return requests_in_module_ < std::size_t{connections_per_server_} * usable_servers_;
 }
 
@@ -242,7 +242,7 @@
 }
 
 void ServiceDispatcher::startQueued() {
-    while (!queued_.empty() && hasDiskSpace()) {
+    while (!queued_.empty() && hasRoom()) {
         const RequestId id = queued_.front();
         queued_.pop_front();
         submitToModule(id);
@@ -313,7 +313,7 @@
         return module_timers_.set(timer->delay, timer->tag);
     }
     if (const auto* const idle = std::get_if<heronmount::CloseIdle>(&action)) {
-        http_.forget(servers_[idle->worker].address);
+        http_.drainConnections(servers_[idle->worker].address);
     }
 }
 
@@ -331,11 +331,11 @@
     heronmount::AttemptEnded ended;
     ended.id = action.id;
     ended.attempt = attempt;
-    ended.outcome = Outcome::moot;
+    ended.outcome = Outcome::notExecuted;
     notifyModule(ended);
 }
 
-void ServiceDispatcher::post(RequestId id, Delivery& delivery, WorkerStatus worker) {
+void ServiceDispatcher::post(RequestId id, Delivery& delivery, Worker worker) {
     checkInvariant(Invariant::one_run_in_a_grant, !delivery.may_have_run, delivery.grant.content.id);
     checkInvariant(Invariant::delivery_follows_configuration, follows_configuration_(delivery.grant),
                    delivery.grant.content.id);
@@ -370,7 +370,7 @@
     return request;
 }
 
-void ServiceDispatcher::onOutcome(RequestId id, WorkerStatus worker, std::uint64_t module_generation,
+void ServiceDispatcher::onOutcome(RequestId id, Worker worker, std::uint64_t module_generation,
                                   std::uint32_t attempt, const HttpOutcome& outcome) {
     --servers_[worker].in_flight;
     const auto found = deliveries_.find(id);
@@ -391,8 +391,8 @@
         ended.id = id;
         ended.attempt = attempt;
         ended.outcome = answer.server_outcome;
-        ended.took = scheduler_.now() - delivery.sent_at;
-        ended.settled = !try_next_server;
+        ended.duration = scheduler_.now() - delivery.sent_at;
+        ended.requestFinished = !try_next_server;
         notifyModule(ended);
     }
     if (!try_next_server) finish(id, result);
--- a/src/cluster/storage/peering_driver.cpp
+++ b/src/cluster/storage/peering_driver.cpp
@@ -159,12 +159,12 @@
     const bool first = !round.logic.hasReported(store);
     if (first) round.running.insert(round.running.end(), reply.running.begin(), reply.running.end());
     if (reply.not_durable) {
-        if (!reply.whole) return;
+        if (!reply.complete) return;
         round.logic.onNonDurableReply(store);
         round.pulls[store].next = clock_.now() + kFailedDiskPullRetry;
         return;
     }
-    if (reply.whole) round.logic.onReply(store, reply);
+    if (reply.complete) round.logic.onReply(store, reply);
     for (const MessageRecord& record : reply.records) hooks_.on_holder(partition, record.content.id, store);
     for (const RecordUpdate& state : reply.states) {
         if (state.phase == Phase::pending) hooks_.on_holder(partition, state.id, store);
--- a/src/cluster/storage/replicator.cpp
+++ b/src/cluster/storage/replicator.cpp
@@ -115,7 +115,8 @@
     for (std::size_t i = 0; i < entries.size(); ++i) {
         ReplicateOutcome outcome = ReplicateOutcome::failed;
         if (complete && reply->replies[i].stored) outcome = ReplicateOutcome::stored;
-        if (complete && reply->replies[i].promised > entries[i].epoch) outcome = ReplicateOutcome::fenced;
+        if (complete && reply->replies[i].promised_epoch > entries[i].epoch)
+            outcome = ReplicateOutcome::fenced;
         entries[i].done(outcome);
     }
     scheduleDrain();
--- a/src/cluster/storage/store_node_requests.cpp
+++ b/src/cluster/storage/store_node_requests.cpp
@@ -68,7 +68,7 @@
     // While the disk fails, no result is acknowledged as taken; the edge reports it again.
     const bool takes = disk_.healthy();
     for (const RunResult& result : report.results)
-        answer.taken.push_back(takes && outcomes_.apply(report.edge, result));
+        answer.accepted.push_back(takes && outcomes_.apply(report.edge, result));
     respond(reply(answer));
     granter_.schedule();
 }
@@ -152,8 +152,8 @@
 
 ReplicateReply StoreNode::Impl::applyReplicate(ReplicateRequest& request, std::int64_t shift_ms) {
     ReplicateReply answer;
-    answer.promised = replica_.promised(request.partition);
-    answer.stored = answer.promised <= request.epoch;
+    answer.promised_epoch = replica_.promised(request.partition);
+    answer.stored = answer.promised_epoch <= request.epoch;
     // States are merged whichever store sends them; records are taken only from the owner that holds the
     // promise.
     OwnedPartition* const owned = findActive(owned_, request.partition);
@@ -194,7 +194,7 @@
     PullReply answer;
     answer.promised = true;
     answer.valid = replica_.isValid(request.partition);
-    answer.peered = replica_.peeredEpoch(request.partition);
+    answer.peered_epoch = replica_.peeredEpoch(request.partition);
     answer.wall_ms = clock_.wallMillis();
     const std::unordered_set<MessageId> known(request.known.begin(), request.known.end());
     std::size_t bytes = 0;
@@ -203,8 +203,8 @@
         auto record = wanted ? replica_.record(request.partition, id) : std::nullopt;
         if (record) {
             bytes += record->content.body.size();
-            answer.whole = bytes <= kMaxBytesPerPull || answer.records.empty();
-            if (!answer.whole) return answer;
+            answer.complete = bytes <= kMaxBytesPerPull || answer.records.empty();
+            if (!answer.complete) return answer;
             answer.records.push_back(std::move(*record));
         } else if (message.content_on_disk || message.phase != Phase::pending) {
             answer.states.push_back(replica_.state(request.partition, id, message));
--- a/tests/cluster/changed_route_test.cpp
+++ b/tests/cluster/changed_route_test.cpp
@@ -128,7 +128,7 @@
         CHECK(stores.play.unfinished() == 0);
         CHECK(stores.arrivals("servers") == 0);
         CHECK(stores.arrivals("board") == 3);
-        CHECK(stores.play.violationText() == "");
+        CHECK(stores.play.faultText() == "");
     }
 }
 
@@ -201,13 +201,13 @@
         stores.play.world.run(Millis(3000));
         CHECK(stores.runsOf(first) == 1);
         CHECK(stores.runsOf(second) == 1);
-        CHECK_MESSAGE(stores.play.ledger.faults.empty(), stores.play.violationText());
+        CHECK_MESSAGE(stores.play.ledger.faults.empty(), stores.play.faultText());
     }
 }
 
 TEST_CASE("messages of an order key go to one partition, whatever the name of their route") {
     edge_test::EdgeWorld world;
-    world.feed();
+    world.provideAll();
     const auto accepted = [&world](const std::string& id) {
         world.statusOf(world.request("/ordered/x", id, {{"Order-Key", "key"}}));
         for (const auto& store : world.stores) {
@@ -279,7 +279,7 @@
         play.world.run(Millis(15'000));
         CHECK(misdirected == 0);
         CHECK(stores.pendingMessages() == 0);
-        CHECK(play.violationText() == "");
+        CHECK(play.faultText() == "");
     }
 }
 
@@ -294,7 +294,7 @@
 TEST_CASE(
     "an edge does not run a message at a service that its newest configuration no longer assigns to it") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     world.edge->onConfiguration(withService(*edge_test::configuration(), "plain", "partner"));
     world.push(0, {world.grant("id-1")});
     CHECK(world.http.sent.empty());
@@ -305,7 +305,7 @@
 
 TEST_CASE("a route moved to another path does not match a message of the old path") {
     EdgeWorld world;
-    world.feed();
+    world.provideAll();
     auto changed = next(*edge_test::configuration());
     routeOf(*changed, "plain").path_prefix = "/elsewhere/";
     changed->buildIndexes();
@@ -316,9 +316,9 @@
 
 TEST_CASE("messages queued in an edge are returned when their route changes to another service") {
     EdgeWorld world(1, 3, 1);
-    world.feed();
+    world.provideAll();
     world.edge->setEdgeShare({43, 43, 0});  // two connections to the only server
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     for (int i = 0; i < 6; ++i) world.push(0, {world.grant("id-" + std::to_string(i))});
     const std::size_t sent = world.http.sent.size();
     REQUIRE(sent < 6);
@@ -333,8 +333,8 @@
 
 TEST_CASE("an attempt that did not run is not retried at a service that the route no longer uses") {
     EdgeWorld world;
-    world.feed();
-    world.http.play = [](const HttpCall&) { return std::nullopt; };
+    world.provideAll();
+    world.http.script = [](const HttpCall&) { return std::nullopt; };
     world.push(0, {world.grant("id-1")});
     REQUIRE(world.http.sent.size() == 1);
     world.edge->onConfiguration(withService(*edge_test::configuration(), "plain", "partner"));
--- a/tests/cluster/control_operators_test.cpp
+++ b/tests/cluster/control_operators_test.cpp
@@ -121,7 +121,7 @@
         }
         const auto state = decode<ConfigurationState>(newest.value);
         REQUIRE(state.has_value());
-        return state->taken;
+        return state->accepted_changes;
     }
     // Checks that the responses agree with the taken changes: a taken change was never rejected, no other
     // change was acknowledged, and exactly one change builds on each version.
--- a/tests/cluster/control_store_view_test.cpp
+++ b/tests/cluster/control_store_view_test.cpp
@@ -21,7 +21,7 @@
     seen.member.incarnation = incarnation;
     return seen;
 }
-StoreObservation handleTimeout(StoreObservation seen) {
+StoreObservation timedOut(StoreObservation seen) {
     seen.timed_out = true;
     return seen;
 }
@@ -88,7 +88,7 @@
 
 TEST_CASE("a store that timed out loses its partitions to the others, which keep their own") {
     const StoreView before = firstView(3);
-    const auto after = nextView(before, {handleTimeout(store("s1"))}, kOldOwnersStopped);
+    const auto after = nextView(before, {timedOut(store("s1"))}, kOldOwnersStopped);
     REQUIRE(after);
     CHECK(after->epoch == 2);
     CHECK_FALSE(after->stores[1].alive);
@@ -99,11 +99,11 @@
         CHECK(owner.previous == before.partitions[partition].owner);
         CHECK(owner.previous_stopped == (owner.previous != 1));
     }
-    CHECK_FALSE(nextView(*after, {handleTimeout(store("s1"))}, kOldOwnersStopped));
+    CHECK_FALSE(nextView(*after, {timedOut(store("s1"))}, kOldOwnersStopped));
     SUBCASE("the view records the epoch since which it has been unavailable") {
         CHECK(after->stores[1].absent_since_epoch == 2);
         const auto later =
-            nextView(*after, {handleTimeout(store("s1")), handleTimeout(store("s2"))}, kOldOwnersStopped);
+            nextView(*after, {timedOut(store("s1")), timedOut(store("s2"))}, kOldOwnersStopped);
         REQUIRE(later);
         CHECK(later->stores[1].absent_since_epoch == 2);
         CHECK(later->stores[2].absent_since_epoch == 3);
@@ -140,7 +140,7 @@
     for (const PartitionOwner& owner : after->partitions) CHECK(owner.previous_stopped);
     CHECK_FALSE(nextView(*after, {leaving(store("s1"))}, kOldOwnersStopped));
     CHECK_FALSE(nextView(*after, {store("s1")}, kOldOwnersStopped));
-    CHECK_FALSE(nextView(*after, {handleTimeout(store("s1"))}, kOldOwnersStopped));
+    CHECK_FALSE(nextView(*after, {timedOut(store("s1"))}, kOldOwnersStopped));
     const auto back = nextView(*after, {store("s1", 2)}, kOldOwnersStopped);
     REQUIRE(back);
     CHECK(back->stores[1].alive);
@@ -167,13 +167,12 @@
     CHECK(counts(*after) == std::vector<std::size_t>{6, 6, 6, 6});
     CHECK(moved(before, *after) == 6);
     CHECK_FALSE(nextView(before, {leaving(store("s3"))}, kOldOwnersStopped));
-    CHECK_FALSE(nextView(before, {handleTimeout(store("s3"))}, kOldOwnersStopped));
+    CHECK_FALSE(nextView(before, {timedOut(store("s3"))}, kOldOwnersStopped));
 }
 
 TEST_CASE("with no store alive partitions have no owner, and the first store to return owns all") {
     const StoreView before = firstView(2);
-    const auto none =
-        nextView(before, {handleTimeout(store("s0")), handleTimeout(store("s1"))}, kOldOwnersStopped);
+    const auto none = nextView(before, {timedOut(store("s0")), timedOut(store("s1"))}, kOldOwnersStopped);
     REQUIRE(none);
     for (const PartitionOwner& owner : none->partitions) CHECK(owner.owner == -1);
     const auto back = nextView(*none, {store("s0", 2)}, {.old_owners_stopped = false});
@@ -214,12 +213,12 @@
 
 TEST_CASE("a store unavailable for long is removed once the view is peered, if enough stores are left") {
     const StoreView four = firstView(4);
-    const StoreView away = *nextView(four, {handleTimeout(store("s1"))}, kOldOwnersStopped);
+    const StoreView away = *nextView(four, {timedOut(store("s1"))}, kOldOwnersStopped);
     ViewRules rules = kOldOwnersStopped;
     rules.long_unavailable = {"s1"};
-    CHECK_FALSE(nextView(away, {handleTimeout(store("s1"))}, rules));
+    CHECK_FALSE(nextView(away, {timedOut(store("s1"))}, rules));
     rules.peered = true;
-    const auto dropped = nextView(away, {handleTimeout(store("s1"))}, rules);
+    const auto dropped = nextView(away, {timedOut(store("s1"))}, rules);
     REQUIRE(dropped);
     CHECK(dropped->stores.size() == 3);
     CHECK(moved(away, *dropped) > 0);  // the indices have changed
@@ -237,8 +236,8 @@
     CHECK(back->stores.back().joined_epoch == back->epoch);
     // If it returns in the same change, it stays.
     CHECK(nextView(away, {store("s1")}, rules)->stores.size() == 4);
-    const StoreView three = *nextView(firstView(3), {handleTimeout(store("s1"))}, kOldOwnersStopped);
-    CHECK_FALSE(nextView(three, {handleTimeout(store("s1"))}, rules));
+    const StoreView three = *nextView(firstView(3), {timedOut(store("s1"))}, kOldOwnersStopped);
+    CHECK_FALSE(nextView(three, {timedOut(store("s1"))}, rules));
 }
 
 TEST_CASE("a retired store loses its partitions at once, leaves once the view is peered, and cannot return") {
--- a/tests/cluster/distance_test.cpp
+++ b/tests/cluster/distance_test.cpp
@@ -16,7 +16,7 @@
 #include "cluster/common/topology.hpp"
 #include "cluster/common/traffic_meter.hpp"
 #include "cluster/edge/partition_map.hpp"
-#include "cluster/storage/edges.hpp"
+#include "cluster/storage/edge_registry.hpp"
 #include "cluster/storage/placement.hpp"
 
 using namespace amberswitch::cluster;
@@ -151,7 +151,7 @@
 TEST_CASE("the next run goes to the nearest edge that may take one") {
     EdgeRegistry edges("east-a", twoRegions(), 1);
     const auto add = [&edges](const std::string& name, const std::string& zone) {
-        Edge& edge = edges.heard(name, {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.recordContact(name, {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zone;
     };
@@ -175,7 +175,7 @@
     EdgeRegistry edges(zone, twoRegions(), seed);
     const std::vector<std::string> zones{"east-a", "east-b", "west-a"};
     for (int i = 0; i < kManyEdges; ++i) {
-        Edge& edge = edges.heard("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
+        Edge& edge = edges.recordContact("edge-" + std::to_string(i), {"10.2.0.1", 1}, kNow);
         edge.synced_epoch = 1;
         edge.zone = zones[static_cast<std::size_t>(i) % zones.size()];
     }
@@ -255,9 +255,9 @@
     locations.setZone(far, "west-a");
     TrafficMeter meter;
     const auto kind = static_cast<std::uint16_t>(MessageKind::accept_message);
-    meter.count(kind, locations.distanceTo(near), 100);
-    meter.count(kind, locations.distanceTo(far), 200);
-    meter.count(kind, locations.distanceTo(far), 200);
+    meter.countCall(kind, locations.distanceTo(near), 100);
+    meter.countCall(kind, locations.distanceTo(far), 200);
+    meter.countCall(kind, locations.distanceTo(far), 200);
     meter.countReply(kind, locations.distanceTo(far), 10);
     const std::string text = meter.text();
     CHECK(text.find("traffic_accept_message_same_zone_calls 1\n") != std::string::npos);
--- a/tests/cluster/edge_world.hpp
+++ b/tests/cluster/edge_world.hpp
@@ -39,7 +39,7 @@
     outcome.unreachable = true;
     return outcome;
 }
-inline HttpOutcome handleTimeout() {
+inline HttpOutcome timedOut() {
     HttpOutcome outcome;
     outcome.timed_out = true;
     return outcome;
@@ -79,7 +79,7 @@
     std::size_t connectionCount(const NodeAddress& address) const override {
         return connected.contains(address) ? 1 : 0;
     }
-    void forget(const NodeAddress& address) override { drained_addresses.push_back(address); }
+    void drainConnections(const NodeAddress& address) override { drained_addresses.push_back(address); }
 
     // Finishes the call that has been held the longest.
     void release(HttpOutcome outcome) {
@@ -318,7 +318,7 @@
     std::optional<HttpResponse> responseTo(const HttpRequest& asked, Millis span = Millis(3000)) {
         auto response = std::make_shared<std::optional<HttpResponse>>();
         edge->handleClientRequest(asked, [response](HttpResponse given) { *response = std::move(given); });
-        world.RawConnection([&] { return response->has_value(); }, span);
+        world.runUntil([&] { return response->has_value(); }, span);
         return *response;
     }
     int statusOf(const HttpRequest& asked, Millis span = Millis(3000)) {
--- a/tests/cluster/store_chaos_test.cpp
+++ b/tests/cluster/store_chaos_test.cpp
@@ -30,7 +30,7 @@
     void repair() {
         for (const std::size_t i : victims_) {
             StoreMachine& machine = *stores_.machines[i];
-            stores_.network.join(machine.address.ip);
+            stores_.network.endIsolation(machine.address.ip);
             stores_.hidden.erase(machine.name);
             if (machine.leaving) stores_.stop(machine);
             if (!machine.process) stores_.start(machine);
--- a/tests/cluster/store_leader.hpp
+++ b/tests/cluster/store_leader.hpp
@@ -111,7 +111,7 @@
     }
     ViewRules rules() const {
         ViewRules rules;
-        rules.settled = stores_.world.now() - last_change_ >= Millis(3000);
+        rules.old_owners_stopped = stores_.world.now() - last_change_ >= Millis(3000);
         rules.peered = isPeered();
         for (const auto& [name, since] : unavailable_since_) {
             if (stores_.world.now() - since >= kRemoveUnavailableAfter)
--- a/tests/cluster/store_node_test.cpp
+++ b/tests/cluster/store_node_test.cpp
@@ -191,7 +191,7 @@
     stores.hidden.insert(cut.name);
     stores.changeView();
     stores.world.run(Millis(1500));
-    stores.network.join(cut.address.ip);  // connected again, still without the new view
+    stores.network.endIsolation(cut.address.ip);  // connected again, still without the new view
     request.content.id = "later";
     client.call(cut.address, envelope(MessageKind::accept_message, request), Millis(5000),
                 [&](const CallResult& result) { answer = decode<AcceptMessageReply>(result.reply.body); });
--- a/tests/cluster/store_peering_test.cpp
+++ b/tests/cluster/store_peering_test.cpp
@@ -65,11 +65,11 @@
 
 TEST_CASE("a store that has been away since before the last peering is not needed") {
     std::vector<PeerStore> stores = peers({"b", "d"}, {"c"});
-    stores.back().absent_since_epoch = 7;
+    stores.back().away_epoch = 7;
     PullReply reply = answer(true);
     SUBCASE("peered before it went: it may hold the only other copy") {
         PeeringRound round(1, stores, 1, true, 6);
-        reply.peered = 6;
+        reply.peered_epoch = 6;
         round.onReply("b", reply);
         CHECK(!round.hasQuorum());
         round.onReply("d", answer(true));
@@ -77,7 +77,7 @@
     }
     SUBCASE("peered without it, as another replica knows") {
         PeeringRound round(1, stores, 1, true, 6);
-        reply.peered = 7;
+        reply.peered_epoch = 7;
         round.onReply("b", reply);
         CHECK(round.hasQuorum());
     }
--- a/tests/cluster/store_world_edge.hpp
+++ b/tests/cluster/store_world_edge.hpp
@@ -65,14 +65,15 @@
     EdgeSync message{name_, zone_, address_, incarnation_, view_->epoch, leaving, {}, 0};
     message.next_sync_within_ms =
         (stores_.options.far_edges ? kRemoteIdleHeartbeatFactor * kEdgeHeartbeatInterval
-                                 : kEdgeHeartbeatInterval)
+                                   : kEdgeHeartbeatInterval)
             .count();
     for (const auto& [name, attempt] : running_) message.running.push_back(attempt);
     process_->transport->call(store, envelope(MessageKind::edge_sync, message), Millis(500),
                               [](CallResult) {});
 }
 
-inline void FakeEdge::submit(MessageContent content, std::uint32_t max_failures, bool poison, bool hopeless) {
+inline void FakeEdge::submit(MessageContent content, std::uint32_t max_failures, bool always_fails,
+                             bool always_rejected) {
     const std::size_t hash = std::hash<std::string>()(content.order_key);
     const auto partitions = static_cast<PartitionId>(stores_.options.partitions);
     const PartitionId partition = content.ordered
@@ -83,8 +84,8 @@
     message.partition = partition;
     message.sent = stores_.world.now();
     message.max_failures = max_failures;
-    message.poison = poison;
-    message.hopeless = hopeless;
+    message.always_fails = always_fails;
+    message.always_rejected = always_rejected;
     const auto owner = ownerOf(partition);
     if (!owner) return;
     AcceptMessageRequest request;
@@ -156,7 +157,7 @@
             if (!same_line || id == grant.content.id || !other.accepted || other.ended) continue;
             if (*other.accepted < message.sent) {
                 stores_.ledger.faults.push_back("order: " + grant.content.id + " began before the end of " +
-                                              id);
+                                                id);
             }
         }
     }
@@ -165,13 +166,13 @@
         Ledger::Message& run = stores_.ledger.messages[grant.content.id];
         const bool lost = stores_.world.chance() < stores_.options.lost_answers;
         const SteadyTime now = stores_.world.now();
-        if (run.hopeless) {
+        if (run.always_rejected) {
             run.rejected = true;
             if (!run.ended) run.ended = now;
             if (!lost) run.end_read = true;
             return finish(grant, lost ? RunOutcome::unknown : RunOutcome::rejected, {});
         }
-        if (run.poison || stores_.world.chance() < stores_.options.failures) {
+        if (run.always_fails || stores_.world.chance() < stores_.options.failures) {
             if (lost) return finish(grant, RunOutcome::unknown, {});
             if (++run.failures >= run.max_failures && !run.ended) run.ended = now;
             return finish(grant, RunOutcome::failed, {});
