--- a/tests/cluster/edge_callback_test.cpp
+++ b/tests/cluster/edge_callback_test.cpp
@@ -52,7 +52,7 @@
     CHECK(world.edge->countersText().find("grants_held 0\n") != std::string::npos);
 }
 
-TEST_CASE("a rejected message is called back as a dead letter; a failed one is left to the owner") {
+TEST_CASE("a rejected message is called back as a dead letter, a failed one is left to the owner") {
     EdgeWorld world;
     world.provideAll();
     int status = 422;
--- a/tests/cluster/edge_delivery_test.cpp
+++ b/tests/cluster/edge_delivery_test.cpp
@@ -300,7 +300,7 @@
     CHECK(world.http.sentTo(serverAddress(0)) > world.http.sentTo(serverAddress(1)) * 3 / 2);
 }
 
-TEST_CASE("a repeated grant is accepted and not started twice; another attempt of the message is refused") {
+TEST_CASE("a repeated grant is accepted and not started twice, another attempt of the message is refused") {
     EdgeWorld world;
     world.provideAll();
     world.http.script = [](const HttpCall&) { return std::nullopt; };
--- a/tests/cluster/edge_query_test.cpp
+++ b/tests/cluster/edge_query_test.cpp
@@ -178,7 +178,7 @@
     CHECK(readiness() == 503);
 }
 
-TEST_CASE("no accepted message is unknown while stores and edges die and restart; order keys are unchanged") {
+TEST_CASE("no accepted message is unknown while stores and edges die and restart, order keys are unchanged") {
     int unavailable = 0;
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         INFO("seed " << seed);
--- a/tests/cluster/store_limits_test.cpp
+++ b/tests/cluster/store_limits_test.cpp
@@ -147,7 +147,7 @@
     CHECK(limiter.isDown("partner"));
 }
 
-TEST_CASE("edges of the own zone are preferred; silent, leaving, unsynced and full edges get no grants") {
+TEST_CASE("edges of the own zone are preferred, and silent, leaving, unsynced and full edges get no grants") {
     EdgeRegistry edges("here", {}, 1);
     CHECK(edges.choose(kStart) == nullptr);
     Edge& far = edges.recordContact("far", {"10.2.0.1", 1}, kStart);
--- a/tests/cluster/store_queue_test.cpp
+++ b/tests/cluster/store_queue_test.cpp
@@ -154,7 +154,7 @@
     CHECK(fixture.queue.expired(kNow + Millis(10))[0]->id == "a");
 }
 
-TEST_CASE("messages in time run first, by priority and age; then late ones, then those that are too late") {
+TEST_CASE("messages in time run first, by priority and age, then late ones, then those that are too late") {
     QueueFixture fixture;
     QueueItem routine = item("routine", 1);
     routine.priority = 5;
--- a/tests/cluster/store_replicator_test.cpp
+++ b/tests/cluster/store_replicator_test.cpp
@@ -70,7 +70,7 @@
     CHECK(fixture.replicator.idle());
 }
 
-TEST_CASE("at most two calls are in progress; later entries wait for their answers") {
+TEST_CASE("at most two calls are in progress, later entries wait for their answers") {
     ReplicatorFixture fixture;
     fixture.network.delay = Millis(20);
     for (int turn = 0; turn < 10; ++turn) {
