--- a/src/cluster/control/register_proposer.cpp
+++ b/src/cluster/control/register_proposer.cpp
@@ -134,7 +134,8 @@
     ++change->reply_count;
     if (reply && reply->voter && reply->promised) {
         ++change->vote_count;
-        const bool keeps_first = isFaultInjected(InjectedFault::adopts_first_value) && !change->current.empty();
+        const bool keeps_first =
+            isFaultInjected(InjectedFault::adopts_first_value) && !change->current.empty();
         if (reply->accepted > change->highest_accepted && !keeps_first) {
             change->highest_accepted = reply->accepted;
             change->current = std::move(reply->value);
--- a/src/cluster/control/register_voter.hpp
+++ b/src/cluster/control/register_voter.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "cluster/common/messages.hpp"
 #include "cluster/common/injected_fault.hpp"
+#include "cluster/common/messages.hpp"
 #include "cluster/control/lifetime.hpp"
 #include "cluster/control/register_messages.hpp"
 #include "cluster/storage/record_store.hpp"
--- a/src/cluster/control/voter_change.cpp
+++ b/src/cluster/control/voter_change.cpp
@@ -148,7 +148,8 @@
     // The live voters that form a majority also form one after adding a live machine or removing an absent
     // one. Without a majority no further change could be made.
     const bool has_majority = summary.live_voters >= majoritySize(summary.voters);
-    if (!has_majority && !isFaultInjected(InjectedFault::changes_voters_without_majority)) return std::nullopt;
+    if (!has_majority && !isFaultInjected(InjectedFault::changes_voters_without_majority))
+        return std::nullopt;
     if (const auto removed = voterToRemove(summary, tolerated_machines))
         return withoutVoter(current, *removed);
     if (!summary.standby.empty()) return withVoter(current, summary.standby.front());
--- a/src/cluster/storage/edge_registry.hpp
+++ b/src/cluster/storage/edge_registry.hpp
@@ -31,8 +31,8 @@
     Incarnation incarnation = 0;
     SteadyTime last_contact;
     Millis heartbeat = kEdgeHeartbeatInterval;  // interval announced in its last edge_sync
-    Epoch synced_epoch = 0;             // newest view epoch for which it listed its running attempts
-    bool usable = true;                 // false after a failed push, until its next contact
+    Epoch synced_epoch = 0;                     // newest view epoch for which it listed its running attempts
+    bool usable = true;                         // false after a failed push, until its next contact
     bool leaving = false;
     std::optional<SteadyTime> probed;     // time of the liveness probe that awaits an answer
     std::vector<RunningAttempt> running;  // as of its last edge_sync
