--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -37,8 +37,7 @@
         };
         if (path == "/control/ready") {
             if (allows("GET"))
-                reply(now, service.ready() ? 200 : 503,
-                      std::string(service::nameOf(service.state())) + "\n");
+                reply(now, service.ready() ? 200 : 503, std::string(service::nameOf(service.state())) + "\n");
         } else if (path == "/control/counters") {
             if (allows("GET")) reply(now, 200, owner_.formatCounters_());
         } else if (path == "/control/out-of-service") {
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -429,7 +429,7 @@
                 item.entry.status == WorkerStatus::off
                     ? placement_.placementOf(handle)
                     : placement_.updateServer(now, handle, item.name, item.zoneKnown ? item.entry.zone : -1,
-                                        item.entry.startedAt);
+                                              item.entry.startedAt);
             server.entry.classMask = placement_.classMaskOf(server.entry.classMask, serverPlacement);
             server.entry.kind = placement_.kindOf(server.entry.kind, serverPlacement);
             noClasses = server.entry.classMask == 0;  // a mask of 0 would select classes by the server's kind
--- a/src/core/transaction.hpp
+++ b/src/core/transaction.hpp
@@ -57,8 +57,7 @@
     heronmount::RequestArrived request;  // the core sets its id
     Job job;
     std::shared_ptr<ClientEnd> client;
-    int priority =
-        1;  // 0 goes first, then 1, then 2, among jobs that wait for one server, where possible
+    int priority = 1;  // 0 goes first, then 1, then 2, among jobs that wait for one server, where possible
 };
 
 struct ProxyPass {
--- a/src/placement/ledger.hpp
+++ b/src/placement/ledger.hpp
@@ -21,8 +21,8 @@
     SpillLimiter(const Spill& spill, std::uint32_t fleet, std::uint32_t me, Time start)
         : spill_(spill), fleetSize_(fleet), index_(me), start_(start) {}
 
-    bool trySpend(Time now);       // false if the allowance is used up
-    void refund(Time spent);       // of a job that was not spilled after all
+    bool trySpend(Time now);  // false if the allowance is used up
+    void refund(Time spent);  // of a job that was not spilled after all
     // Returns this dispatcher's part of `jobs` per span, as of now.
     std::uint32_t share(std::uint32_t jobs, Nanos span, Time now) const;
     std::size_t spent(Time now, Nanos span) const;
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -62,7 +62,8 @@
     }
     const std::uint32_t jurisdictions = policy_.of(zone, name);
     s = {jurisdictions, jurisdictions ? PlacementReason::known : PlacementReason::unknownPlace,
-         now, zone, start, name};
+         now,           zone,
+         start,         name};
     counters_.unknownPlace += jurisdictions == 0;
     return s;
 }
--- a/src/takeover/link.hpp
+++ b/src/takeover/link.hpp
@@ -18,11 +18,11 @@
 class Link : public wire::Machine, public std::enable_shared_from_this<Link> {
 public:
     static constexpr std::uint32_t kVersion = 1;
-    static constexpr std::size_t kMaxFrameBytes = 4 * 1024 * 1024;          // the size limit of a list
-    static constexpr std::size_t kMaxUnsentBytes = 1024 * 1024;             // unsent output in bytes
-    static constexpr std::size_t kMaxPendingCallbacks = 4096;               // callbacks without an answer yet
-    static constexpr Nanos kHandshakeTimeout = std::chrono::seconds(1);     // timeout of the handshake
-    static constexpr Nanos kAnswerTimeout = std::chrono::milliseconds(800); // for the answer to a callback
+    static constexpr std::size_t kMaxFrameBytes = 4 * 1024 * 1024;       // the size limit of a list
+    static constexpr std::size_t kMaxUnsentBytes = 1024 * 1024;          // unsent output in bytes
+    static constexpr std::size_t kMaxPendingCallbacks = 4096;            // callbacks without an answer yet
+    static constexpr Nanos kHandshakeTimeout = std::chrono::seconds(1);  // timeout of the handshake
+    static constexpr Nanos kAnswerTimeout = std::chrono::milliseconds(800);  // for the answer to a callback
 
     enum class CallbackResult { owned, unowned, unknown };  // unknown: no answer in time
     using Reply = std::function<void(Time, CallbackResult)>;
--- a/src/takeover/takeover.cpp
+++ b/src/takeover/takeover.cpp
@@ -127,7 +127,7 @@
                       return askNext(at, left, body, hops, reply);
                   ++(word == Link::CallbackResult::owned     ? counters_.owned
                      : word == Link::CallbackResult::unowned ? counters_.unowned
-                                                   : counters_.unknown);
+                                                             : counters_.unknown);
                   reply(at, word);
               });
 }
--- a/src/takeover/takeover.hpp
+++ b/src/takeover/takeover.hpp
@@ -25,7 +25,7 @@
         std::function<void(const std::string&)> log;
     };
     static constexpr Nanos kPredecessorTimeout =
-        std::chrono::milliseconds(1500);                             // for a predecessor to send its roster
+        std::chrono::milliseconds(1500);  // for a predecessor to send its roster
     static constexpr Nanos kUsageInterval = std::chrono::milliseconds(100);  // checks of descriptors
     static constexpr std::uint32_t kMaxHops = 3;
     static constexpr std::size_t kMaxLinks = 4;  // from starting processes; one is usual
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -544,8 +544,7 @@
     const std::size_t asks = network.made.size() - 1;
     network.made[asks]->opened(now);
     EXPECT_EQ(network.take(asks, now).find("GET /api/targets?index=5&wait="), 0u);
-    network.made[at]->ended(
-        now, End::peerReset);  // the old watch is lost; its list and index are kept
+    network.made[at]->ended(now, End::peerReset);  // the old watch is lost; its list and index are kept
     EXPECT_EQ(watch.told().find(R"({"index":5,)"), 0u);
     after.inherit(now, R"({"index":9,"snapshot":true,"endpoints":[]})");  // from a predecessor without a list
     EXPECT_EQ(next.listedServers(), 2u);
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -106,7 +106,7 @@
             EXPECT_EQ(*heard, "none");  // once
             *heard = word == Link::CallbackResult::owned     ? "owned"
                      : word == Link::CallbackResult::unowned ? "unowned"
-                                                   : "unknown";
+                                                             : "unknown";
         });
         settle();
         for (int i = 0; i < 200 && *heard == "none"; ++i) pass(10ms);
